--- a/src/lib.rs
+++ b/src/lib.rs
@@ -15,6 +15,8 @@
 #[cfg(test)]
 mod fuzz;
 pub mod gateway;
+#[cfg(test)]
+mod golden;
 pub mod group;
 pub mod http;
 pub mod id;
--- a/src/store/identity.rs
+++ b/src/store/identity.rs
@@ -22,7 +22,7 @@
 const SALT: Salt = Salt::new(0, 0);
 
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-struct Identity {
+pub(super) struct Identity {
     id: id::Replica,
 }
 
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -1,5 +1,6 @@
 pub(crate) mod faulty;
 mod fuzz;
+mod golden;
 mod script;
 
 use std::collections::BTreeMap;
