--- a/src/golden/sample.rs
+++ b/src/golden/sample.rs
@@ -55,8 +55,11 @@
 pub fn all<T: DeserializeOwned>(human_readable: bool) -> Vec<T> {
     let mut source = Source { human_readable, ..Source::default() };
     let mut samples = Vec::new();
-    while samples.len() < MAX_SAMPLES && !(source.is_complete() && !samples.is_empty()) {
+    loop {
         samples.push(source.sample());
+        if source.is_complete() || samples.len() == MAX_SAMPLES {
+            break;
+        }
     }
     source.sparse = true;
     samples.push(source.sample());
