--- a/src/consensus/change.rs
+++ b/src/consensus/change.rs
@@ -1,4 +1,4 @@
-//! Changing the members, one at a time, asked for or on the leader's own decision.
+//! Membership changes: one member at a time, requested by the driver or made by the leader.
 
 use std::time::Duration;
 
@@ -21,24 +21,24 @@
 use crate::id;
 
 impl Replica {
-    pub(super) fn change(&mut self, change: Change, token: Token, now: Instant) {
+    pub(super) fn propose_change(&mut self, change: Change, token: Token, now: Instant) {
         match self.try_change(change, now) {
             Ok(position) => self.emit(Output::Appended { token, position }),
             Err(refusal) => self.reject(token, refusal),
         }
     }
 
-    /// Appends a change, which holds from then on.
+    /// Appends a membership change, which takes effect immediately.
     ///
-    /// Two rules keep majorities in touch. The last change must be committed, for two at once could leave
-    /// an old and a new majority without a shared voter. And so must be an entry of the own term: else
-    /// two leaders that never heard of each other's change could each win with a majority of their own.
+    /// The previous change must be committed first: two changes at once could leave an old and a
+    /// new majority without a common voter. An entry of the current term must be committed as well,
+    /// or two leaders unaware of each other's changes could each win a disjoint majority.
     fn try_change(&mut self, change: Change, now: Instant) -> Result<Position, Refusal> {
         if !self.is_leader() {
             return Err(Refusal::NotLeader { leader: self.leader() });
         }
-        if self.is_handing_over() {
-            return Err(Refusal::HandingOver);
+        if self.is_transferring() {
+            return Err(Refusal::TransferInProgress);
         }
         if !self.is_ready() && !self.has_fault(Fault::EarlyChange) {
             return Err(Refusal::NotReady);
@@ -46,13 +46,13 @@
         if self.log.members_index() > self.commit {
             return Err(Refusal::ChangePending);
         }
-        let members = self.log.members().changed(change)?;
+        let members = self.log.members().with_change(change)?;
         if let Change::Promote(learner) = change
             && !self.is_caught_up(learner)
         {
             return Err(Refusal::NotCaughtUp);
         }
-        if !members.has_majority(|id| self.is_in_touch(id) || change == Change::AddWitness(id)) {
+        if !members.has_majority(|id| self.is_responsive(id) || change == Change::AddWitness(id)) {
             return Err(Refusal::NoMajority);
         }
         Ok(self.append_members(members, now))
@@ -72,7 +72,7 @@
         position
     }
 
-    /// What the leader knows of the other members; nothing elsewhere.
+    /// The leader's view of the other members; empty on a replica that does not lead.
     pub fn peers(&self, now: Instant) -> Vec<Peer> {
         let members = self.log.members().iter();
         let known = members.filter_map(|(id, role)| Some((id, role, self.progress(id)?)));
@@ -81,7 +81,7 @@
                 id,
                 role,
                 matched: p.matched,
-                in_touch: !p.missed,
+                responsive: !p.unresponsive,
                 silence: p.silence(now),
             })
             .collect()
@@ -94,45 +94,47 @@
         }
     }
 
-    fn is_in_touch(&self, id: id::Replica) -> bool {
-        id == self.id() || self.progress(id).is_some_and(|p| !p.missed)
+    fn is_responsive(&self, id: id::Replica) -> bool {
+        id == self.id() || self.progress(id).is_some_and(|p| !p.unresponsive)
     }
 
-    /// Whether a learner holds, synced, all that is committed. A voter that lacks some of it adds nothing to
-    /// the next majority, and the group is as thin as before while it looks repaired.
+    /// Whether a learner has persisted every committed entry. Promoting one that lags would not add
+    /// a usable voter to the next majority.
     fn is_caught_up(&self, id: id::Replica) -> bool {
         let ready =
-            |p: &Progress| !p.missed && p.holds_data == Some(true) && p.mode == Mode::Stream;
+            |p: &Progress| !p.unresponsive && p.holds_data == Some(true) && p.mode == Mode::Stream;
         self.progress(id).is_some_and(|p| ready(p) && p.matched >= self.commit)
     }
 
-    /// Keeps up the number of data voters without an operator: promotes a learner that is caught up where one
-    /// is wanting, and lets go of a voter that has been silent for long while such a learner waits.
+    /// Maintains the number of data voters automatically: promotes a caught-up learner when a voter
+    /// is missing, and removes a voter that has been silent for `replace_after` if such a learner
+    /// is available.
     ///
-    /// The dead one goes first: from then on the group needs no more replicas alive than before. Learners that fell
-    /// silent go too, or a VM without a disk, which has a new identity at each start, would leave one behind each time.
-    pub(super) fn repair(&mut self, now: Instant) {
+    /// The failed voter is removed before its replacement is promoted, so that the quorum never
+    /// grows meanwhile. Silent learners are removed too, because a VM without a disk gets a new
+    /// identity at each start and would leave its previous one behind.
+    pub(super) fn repair_members(&mut self, now: Instant) {
         let Some(silence) = self.config.replace_after else {
             return;
         };
-        // A refusal is no fault: the next heartbeat decides anew.
-        if let Some(change) = self.next_repair(silence, now) {
+        // A refused change is retried at the next heartbeat.
+        if let Some(change) = self.next_repair_change(silence, now) {
             let _ = self.try_change(change, now);
         }
     }
 
-    fn next_repair(&self, silence: Duration, now: Instant) -> Option<Change> {
+    fn next_repair_change(&self, silence: Duration, now: Instant) -> Option<Change> {
         let members = self.log.members();
         let silent =
             |&id: &id::Replica| self.progress(id).is_some_and(|p| p.silence(now) >= silence);
-        let lost = || members.with_role(Role::Learner).find(silent);
+        let silent_learner = || members.with_role(Role::Learner).find(silent);
         let Some(learner) = members.with_role(Role::Learner).find(|&id| self.is_caught_up(id))
         else {
-            return lost().map(Change::Remove);
+            return silent_learner().map(Change::Remove);
         };
         if members.with_role(Role::Voter).count() < self.config.voters {
             return Some(Change::Promote(learner));
         }
-        members.with_role(Role::Voter).find(silent).or_else(lost).map(Change::Remove)
+        members.with_role(Role::Voter).find(silent).or_else(silent_learner).map(Change::Remove)
     }
 }
--- a/src/consensus/commit.rs
+++ b/src/consensus/commit.rs
@@ -1,4 +1,4 @@
-//! Counting: what a leader may hold for committed, and what the witness may hear of.
+//! Commit index: which entries a leader may commit, and which it may send to the witness.
 
 use tokio::time::Instant;
 
@@ -11,12 +11,12 @@
 use crate::unit::Round;
 
 impl Replica {
-    /// How far a member may be sent entries.
-    pub(super) fn limit(&self, to: id::Replica) -> Index {
+    /// The last index that may be sent to a member.
+    pub(super) fn send_limit(&self, to: id::Replica) -> Index {
         match self.log.members().role(to) {
             Some(Role::Witness) if !self.has_fault(Fault::EarlyWitness) => self.witness_limit(),
-            // A witness taken in as a learner by mistake would be sent data that must stay in the region. So a
-            // learner gets none before it said what it is.
+            // A witness added as a learner by mistake would receive data that must stay in the
+            // region, so a learner gets no entries until it has reported that it holds data.
             Some(Role::Learner) if !self.holds_data(to) => Index::ZERO,
             _ => self.log.last().index,
         }
@@ -31,24 +31,28 @@
         }
     }
 
-    /// A witness that heard of an entry refuses its vote to all that lack it. So it hears of one only once
-    /// it is synced here, and on each data voter that is in touch: otherwise the loss of this one
-    /// replica leaves a data voter that could go on, and a witness that doesn't let it. A voter that has
-    /// missed its heartbeats is not waited for, or its loss would stop the group.
+    /// The last index that may be sent to the witness.
+    ///
+    /// A witness that knows of an entry denies its vote to every candidate that lacks it. It
+    /// therefore gets an entry only once this replica and every responsive data voter have
+    /// persisted it; otherwise the loss of this replica could leave a data voter that the witness
+    /// refuses to elect. Voters that missed their heartbeats are not waited for, since the loss of
+    /// one would stop the group.
     fn witness_limit(&self) -> Index {
         let State::Leader(leader) = &self.state else {
             return Index::ZERO;
         };
-        let in_touch =
+        let responsive =
             self.log.members().with_role(Role::Voter).filter_map(|id| leader.progress.get(&id));
-        let held = in_touch.filter(|p| !p.missed).map(|p| p.matched);
-        let held = held.fold(self.log.synced(), Index::min);
-        // What it was sent already can't be taken back: a voter that is back in touch gets there in one trip.
-        held.max(leader.witnessed.min(self.log.synced()))
+        let matched = responsive.filter(|p| !p.unresponsive).map(|p| p.matched);
+        let matched = matched.fold(self.log.synced(), Index::min);
+        // Entries already sent to the witness can't be retracted. A voter that becomes responsive
+        // again catches up to them in one round trip.
+        matched.max(leader.witness_sent.min(self.log.synced()))
     }
 
-    /// The index up to which a voter's log counts.
-    fn counted(&self, id: id::Replica) -> Index {
+    /// The last index that counts as replicated to a voter.
+    fn acknowledged_index(&self, id: id::Replica) -> Index {
         if id == self.id() {
             let unsynced = self.has_fault(Fault::CountUnsynced);
             return if unsynced { self.log.last().index } else { self.log.synced() };
@@ -56,13 +60,14 @@
         let State::Leader(leader) = &self.state else {
             return Index::ZERO;
         };
-        leader.progress.get(&id).map_or(Index::ZERO, |p| p.matched.min(self.limit(id)))
+        leader.progress.get(&id).map_or(Index::ZERO, |p| p.matched.min(self.send_limit(id)))
     }
 
-    /// Commits what a majority holds, if it ends in an entry of the own term.
+    /// Commits the entries that a majority holds, provided the last of them is of the current term.
     ///
-    /// An entry of an earlier term on a majority may still be replaced, by a leader whose log ends in a
-    /// later term. Once an entry of the own term follows it on a majority, no such log can win any more.
+    /// A leader with a later term in its log may still overwrite an entry of an earlier term that a
+    /// majority holds. Once an entry of the current term follows it on a majority, no such leader
+    /// can be elected.
     pub(super) fn advance_commit(&mut self) {
         if !self.is_leader() {
             return;
@@ -70,28 +75,28 @@
         let members = self.log.members();
         let learners = self.has_fault(Fault::CountLearner);
         let counts = |&(_, role): &(id::Replica, Role)| learners || role != Role::Learner;
-        let mut held: Vec<Index> =
-            members.iter().filter(counts).map(|(id, _)| self.counted(id)).collect();
-        held.sort_unstable_by(|a, b| b.cmp(a));
-        let Some(&index) = held.get(members.majority() - 1) else {
+        let mut acknowledged: Vec<Index> =
+            members.iter().filter(counts).map(|(id, _)| self.acknowledged_index(id)).collect();
+        acknowledged.sort_unstable_by(|a, b| b.cmp(a));
+        let Some(&index) = acknowledged.get(members.majority() - 1) else {
             return;
         };
-        let own = self.log.position(index).is_some_and(|p| p.term == self.hard.term);
-        if index > self.commit && (own || self.has_fault(Fault::SkipOwnTerm)) {
+        let current_term = self.log.position(index).is_some_and(|p| p.term == self.hard.term);
+        if index > self.commit && (current_term || self.has_fault(Fault::CommitEarlierTerm)) {
             self.commit = index;
-            self.leave_if_removed();
+            self.step_down_if_removed();
         }
     }
 
-    /// A leader that was removed leads until that is committed, and then stops.
-    fn leave_if_removed(&mut self) {
+    /// A removed leader steps down once its removal is committed.
+    fn step_down_if_removed(&mut self) {
         let gone = !self.log.members().contains(self.id());
         if gone && self.log.members_index() <= self.commit {
-            self.follow(None);
+            self.become_follower(None);
         }
     }
 
-    pub(super) fn take_matched(
+    pub(super) fn handle_matched(
         &mut self,
         from: id::Replica,
         index: Index,
@@ -107,20 +112,20 @@
         let Some(progress) = leader.progress.get_mut(&from).filter(|_| index <= last) else {
             return;
         };
-        progress.hear(round, now);
+        progress.record_response(round, now);
         progress.holds_data = Some(!witness);
         progress.advance(index, last, now);
-        if progress.matched >= leader.mark.min(commit) {
-            progress.missed = false;
+        if progress.matched >= leader.heartbeat_commit.min(commit) {
+            progress.unresponsive = false;
         }
         self.advance_commit();
         self.confirm_round();
         self.send_entries(from, false);
         self.send_witness();
-        self.hand_over();
+        self.advance_transfer();
     }
 
-    pub(super) fn take_mismatched(
+    pub(super) fn handle_mismatched(
         &mut self,
         from: id::Replica,
         hint: Index,
@@ -128,22 +133,22 @@
         round: Round,
         now: Instant,
     ) {
-        if let Some(progress) = self.heard(from, round, now) {
+        if let Some(progress) = self.record_response(from, round, now) {
             progress.holds_data = Some(!witness);
-            // An answer that was overtaken: what it denies was acknowledged since.
+            // A delayed response: the follower has acknowledged this index since.
             if hint < progress.matched {
                 return;
             }
-            progress.back_up(hint);
+            progress.decrease_next(hint);
             self.send_entries(from, false);
         }
     }
 
-    pub(super) fn take_installing(&mut self, from: id::Replica, round: Round, now: Instant) {
-        self.heard(from, round, now);
+    pub(super) fn handle_installing(&mut self, from: id::Replica, round: Round, now: Instant) {
+        self.record_response(from, round, now);
     }
 
-    fn heard(
+    fn record_response(
         &mut self,
         from: id::Replica,
         round: Round,
@@ -152,7 +157,7 @@
         let State::Leader(leader) = &mut self.state else {
             return None;
         };
-        leader.progress.get_mut(&from)?.hear(round, now);
+        leader.progress.get_mut(&from)?.record_response(round, now);
         self.confirm_round();
         match &mut self.state {
             State::Leader(leader) => leader.progress.get_mut(&from),
@@ -160,7 +165,7 @@
         }
     }
 
-    /// What the witness may hear of has grown.
+    /// Sends the witness any entries it may receive by now.
     pub(super) fn send_witness(&mut self) {
         let witness = self.log.members().with_role(Role::Witness).next();
         if let Some(to) = witness.filter(|&id| id != self.id()) {
@@ -168,21 +173,21 @@
         }
     }
 
-    /// A member missed its heartbeats: it is no longer waited for.
-    pub(super) fn miss(&mut self, id: id::Replica) {
+    /// Marks a member unresponsive: commits and the witness no longer wait for it.
+    pub(super) fn mark_unresponsive(&mut self, id: id::Replica) {
         if let State::Leader(leader) = &mut self.state
             && let Some(progress) = leader.progress.get_mut(&id)
         {
-            progress.missed = true;
+            progress.unresponsive = true;
             self.send_witness();
             self.advance_commit();
         }
     }
 
-    /// Steps down if no majority was heard of since the last time.
+    /// Steps down if no majority responded since the last check.
     ///
-    /// A leader that is cut off would otherwise go on for as long as the cut lasts: callers would wait
-    /// for its answers, and be told of no other leader.
+    /// An isolated leader would otherwise keep its role for as long as the partition lasts, and
+    /// callers would wait for answers without being directed to another leader.
     pub(super) fn check_quorum(&mut self, now: Instant) {
         self.restart_quorum(now);
         let own = self.id();
@@ -190,12 +195,13 @@
         let State::Leader(leader) = &mut self.state else {
             return;
         };
-        let heard = |id| id == own || leader.progress.get(&id).is_some_and(|p| p.heard);
-        if members.has_majority(heard) {
-            leader.progress.values_mut().for_each(|p| p.heard = false);
+        let is_active =
+            |id| id == own || leader.progress.get(&id).is_some_and(|p| p.recently_active);
+        if members.has_majority(is_active) {
+            leader.progress.values_mut().for_each(|p| p.recently_active = false);
             return;
         }
-        self.follow(None);
+        self.become_follower(None);
         self.restart_election(now);
     }
 }
--- a/src/consensus/config.rs
+++ b/src/consensus/config.rs
@@ -1,56 +1,57 @@
-//! What a replica is told about its group's pace and bounds.
+//! Settings of a replica: timeouts and limits.
 
 use std::time::Duration;
 
 use super::fault::Fault;
 use crate::id;
 
-/// How often a leader is heard of. Links carry tens of milliseconds between regions, so a heartbeat may
-/// be in flight while the next one leaves.
-const HEARTBEAT: Duration = Duration::from_millis(100);
+/// Time between heartbeats. May be shorter than a round trip between regions.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The shortest silence after which a follower asks for an election: ten heartbeats, so that the loss
-/// of a few, or one slow sync, changes no leader.
-const ELECTION: Duration = Duration::from_secs(1);
+/// Minimum election timeout: ten heartbeats, so that a few lost ones or a slow sync cause no
+/// election.
+const ELECTION_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Entries sent and not acknowledged, in bytes: what a slow link between regions holds in flight.
+/// Limit on the bytes of unacknowledged entries sent to one replica.
 const IN_FLIGHT_BYTES: usize = 1 << 20;
 
-/// One message's entries, in bytes, so that a heartbeat never waits long behind one.
+/// Limit on the bytes of entries in one message, so that it delays no heartbeat for long.
 const APPEND_BYTES: usize = 64 << 10;
 
-/// Messages with entries sent and not acknowledged.
+/// Limit on unacknowledged messages with entries sent to one replica.
 const IN_FLIGHT_APPENDS: usize = 64;
 
-/// The log in memory, in bytes, beyond which proposals are refused. A control VM has 256 MB in all.
+/// Size of the in-memory log beyond which proposals are refused. A control VM has 256 MB of memory.
 const LOG_BYTES: usize = 32 << 20;
 
-/// The log in memory, in bytes, beyond which a snapshot is due; half of it is left for those that are behind.
+/// Size of the in-memory log beyond which a snapshot is due. Half of it is kept for followers that
+/// lag.
 const SNAPSHOT_BYTES: usize = 4 << 20;
 
-/// The entries beyond which a snapshot is due, so that a restart replays little.
+/// Number of entries after which a snapshot is due, to bound the replay at a restart.
 const SNAPSHOT_ENTRIES: usize = 10_000;
 
-/// Settings of one replica. The replicas of a group should agree on the durations.
+/// Settings of one replica. All replicas of a group should use the same timeouts.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// The identity of the data folder.
+    /// The replica's identity, which belongs to its data folder.
     pub id: id::Replica,
-    /// Whether this replica is a witness: it holds no data and never leads.
+    /// Whether this replica is a witness, which holds no data and never leads.
     pub witness: bool,
     /// The time between heartbeats.
-    pub heartbeat: Duration,
-    /// The shortest silence before an election; the longest is twice that.
-    pub election: Duration,
-    /// The silence after which the leader replaces a data voter by a learner; without it, only changes asked for.
+    pub heartbeat_interval: Duration,
+    /// The minimum election timeout; the maximum is twice that.
+    pub election_timeout: Duration,
+    /// Time without a response after which the leader replaces a data voter by a learner; `None`
+    /// disables replacement.
     pub replace_after: Option<Duration>,
-    /// How many data voters the group should have; a learner that is caught up is promoted up to that.
+    /// The number of data voters to maintain; caught-up learners are promoted until it is reached.
     pub voters: usize,
-    /// Bytes of entries in flight to one replica.
+    /// Limit on the bytes of entries in flight to one replica.
     pub in_flight_bytes: usize,
-    /// Messages with entries in flight to one replica.
+    /// Limit on the messages with entries in flight to one replica.
     pub in_flight_appends: usize,
-    /// Bytes of entries in one message; a longer entry goes alone.
+    /// Limit on the bytes of entries in one message; a larger entry is sent alone.
     pub append_bytes: usize,
     /// Bytes of entries in memory beyond which proposals are refused.
     pub log_bytes: usize,
@@ -58,18 +59,18 @@
     pub snapshot_bytes: usize,
     /// Applied entries beyond which a snapshot is due.
     pub snapshot_entries: usize,
-    /// The planted fault that a check has to find; only tests can set one.
+    /// Injected fault; can only be set in tests.
     pub(super) fault: Option<Fault>,
 }
 
 impl Config {
-    /// The usual settings for an identity.
+    /// Default settings for a replica.
     pub const fn new(id: id::Replica) -> Self {
         Self {
             id,
             witness: false,
-            heartbeat: HEARTBEAT,
-            election: ELECTION,
+            heartbeat_interval: HEARTBEAT_INTERVAL,
+            election_timeout: ELECTION_TIMEOUT,
             replace_after: None,
             voters: 0,
             in_flight_bytes: IN_FLIGHT_BYTES,
@@ -82,22 +83,26 @@
         }
     }
 
-    /// The same as a witness.
+    /// Makes the replica a witness.
     #[must_use]
     pub const fn with_witness(mut self) -> Self {
         self.witness = true;
         self
     }
 
-    /// The same with another pace.
+    /// Sets the heartbeat interval and the minimum election timeout.
     #[must_use]
-    pub const fn with_pace(mut self, heartbeat: Duration, election: Duration) -> Self {
-        self.heartbeat = heartbeat;
-        self.election = election;
+    pub const fn with_timing(
+        mut self,
+        heartbeat_interval: Duration,
+        election_timeout: Duration,
+    ) -> Self {
+        self.heartbeat_interval = heartbeat_interval;
+        self.election_timeout = election_timeout;
         self
     }
 
-    /// The same, replacing data voters silent for so long and keeping up that many of them.
+    /// Maintains the given number of data voters, replacing those without a response for `silence`.
     #[must_use]
     pub const fn with_replacement(mut self, silence: Duration, voters: usize) -> Self {
         self.replace_after = Some(silence);
@@ -105,14 +110,14 @@
         self
     }
 
-    /// The same with a snapshot due after that many applied entries.
+    /// Sets the number of applied entries after which a snapshot is due.
     #[must_use]
     pub const fn with_snapshot_entries(mut self, entries: usize) -> Self {
         self.snapshot_entries = entries;
         self
     }
 
-    /// The same with a planted fault.
+    /// Injects a fault.
     #[cfg(feature = "faults")]
     #[must_use]
     pub const fn with_fault(mut self, fault: Fault) -> Self {
--- a/src/consensus/election.rs
+++ b/src/consensus/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-vote, votes, and who may stand.
+//! Leader election with pre-votes.
 
 use std::collections::BTreeSet;
 
@@ -18,23 +18,23 @@
 use crate::unit::Term;
 
 impl Replica {
-    /// Only a data voter may lead. A witness has no data to replicate, and a learner or a stranger has
-    /// no say; each of them would win an election only to lose what was committed.
+    /// Whether this replica may become leader. Only a data voter may: a witness has no data to
+    /// replicate, and a learner may lack committed entries.
     fn may_lead(&self) -> bool {
         !self.config.witness && self.role() == Some(Role::Voter)
     }
 
-    /// Asks whether an election could be won before it raises the term.
+    /// Starts a pre-vote, which asks whether an election could be won without raising the term.
     ///
-    /// Without it, a replica that was cut off comes back with a higher term, and unseats a leader that
-    /// works well. A pre-vote changes nothing on either side.
+    /// Without it, a replica that returns from a partition with a higher term would depose a
+    /// working leader.
     pub(super) fn start_pre_vote(&mut self, now: Instant) {
         self.restart_election(now);
         if self.is_leader() {
             return;
         }
         self.leader_recent = false;
-        self.follow(None);
+        self.become_follower(None);
         if !self.may_lead() {
             return;
         }
@@ -46,10 +46,11 @@
         self.count_votes(now);
     }
 
-    /// Raises the term and asks for votes, the own one included, once both are synced.
+    /// Starts an election: raises the term and requests votes. All votes, including its own, wait
+    /// until the new term is persisted.
     pub(super) fn campaign(&mut self, now: Instant) {
         self.restart_election(now);
-        self.follow(None);
+        self.become_follower(None);
         self.set_term(self.hard.term.next(), Some(self.id()));
         self.state = State::Candidate { granted: BTreeSet::new() };
         self.send_synced(self.id(), Body::VoteAnswer { granted: true });
@@ -70,52 +71,52 @@
                 self.campaign(now);
             }
             State::Candidate { granted } if members.has_majority(|id| granted.contains(&id)) => {
-                self.lead(now);
+                self.become_leader(now);
             }
             _ => {}
         }
     }
 
-    pub(super) fn answer_pre_vote(
+    pub(super) fn handle_pre_vote(
         &mut self,
         from: id::Replica,
         term: Term,
         last: Position,
         now: Instant,
     ) {
-        let in_touch = self.leader_recent || self.is_leader();
+        let has_leader = self.leader_recent || self.is_leader();
         let granted = term > self.hard.term
-            && !in_touch
+            && !has_leader
             && self.may_vote()
             && last >= self.log.last()
-            && !self.stands_before(from, last);
+            && !self.outranks(from, last);
         if granted {
-            self.make_way(now);
+            self.yield_to_candidate(now);
         }
-        // A refusal carries the own term, so that a candidate that is behind learns of it.
+        // A denial carries the current term, so that a candidate that is behind learns of it.
         let term = if granted { term } else { self.hard.term };
         self.send(from, Message::new(term, Body::PreVoteAnswer { granted }));
     }
 
-    /// Whether this replica asks for pre-votes itself and goes first.
+    /// Whether this replica is a pre-candidate itself and takes precedence over another one.
     ///
-    /// Failure: all replicas start at the same moment, two of five don't come back, and two of the three ask within a trip
-    /// between regions. Each grants the other's pre-vote, both campaign, neither gets the third vote, and there is
-    /// no leader for another timeout. An order that all agree on leaves one of them.
-    fn stands_before(&self, other: id::Replica, last: Position) -> bool {
-        let is_standing = matches!(self.state, State::PreCandidate { .. });
-        is_standing && (self.log.last(), self.id()) > (last, other)
+    /// Replicas that start together may request pre-votes from each other within one round trip. If
+    /// each granted the other's, both would campaign and split the vote. A total order of
+    /// pre-candidates leaves only one.
+    fn outranks(&self, other: id::Replica, last: Position) -> bool {
+        let is_pre_candidate = matches!(self.state, State::PreCandidate { .. });
+        is_pre_candidate && (self.log.last(), self.id()) > (last, other)
     }
 
-    /// Leaves another candidate the time for its election.
-    fn make_way(&mut self, now: Instant) {
+    /// Gives another candidate time to finish its election.
+    fn yield_to_candidate(&mut self, now: Instant) {
         if matches!(self.state, State::PreCandidate { .. }) {
-            self.follow(None);
+            self.become_follower(None);
         }
         self.postpone_election(now);
     }
 
-    pub(super) fn take_pre_vote(
+    pub(super) fn handle_pre_vote_answer(
         &mut self,
         from: id::Replica,
         term: Term,
@@ -131,15 +132,15 @@
         }
     }
 
-    /// Whether this replica may give votes at all.
+    /// Whether this replica may vote.
     ///
-    /// One that knows of no group that it belongs to has lost what it promised, or has promised nothing
-    /// yet. If it voted, an entry that it had acknowledged before could be lost, or a term get two leaders.
+    /// A replica that is not in its own member list has lost its state or never had any. Its vote
+    /// could lose an entry that it acknowledged earlier, or elect two leaders in one term.
     fn may_vote(&self) -> bool {
-        self.log.members().contains(self.id()) || self.has_fault(Fault::AmnesiacVote)
+        self.log.members().contains(self.id()) || self.has_fault(Fault::VoteWithoutMembers)
     }
 
-    pub(super) fn answer_vote(&mut self, from: id::Replica, last: Position, now: Instant) {
+    pub(super) fn handle_vote(&mut self, from: id::Replica, last: Position, now: Instant) {
         let free = self.hard.vote.is_none_or(|id| id == from) || self.has_fault(Fault::VoteTwice);
         let complete = last >= self.log.last() || self.has_fault(Fault::VoteForStale);
         let granted = free && complete && self.may_vote();
@@ -150,7 +151,7 @@
         self.send_synced(from, Body::VoteAnswer { granted });
     }
 
-    pub(super) fn take_vote(&mut self, from: id::Replica, granted: bool, now: Instant) {
+    pub(super) fn handle_vote_answer(&mut self, from: id::Replica, granted: bool, now: Instant) {
         if let State::Candidate { granted: votes } = &mut self.state
             && granted
         {
@@ -165,27 +166,26 @@
             return;
         }
         if term > self.hard.term {
-            // Answers to a leader or candidate of an earlier term are of no more use.
-            self.held.clear();
+            // Responses to a leader or candidate of an earlier term are obsolete.
+            self.pending_sends.clear();
         }
         self.hard = hard;
         self.log.set_hard(hard);
     }
 
-    /// Learns of a higher term.
     pub(super) fn enter_term(&mut self, term: Term, now: Instant) {
-        self.follow(None);
+        self.become_follower(None);
         self.set_term(term, None);
         self.restart_election(now);
     }
 
-    /// Becomes a follower, of a leader if one is known.
-    pub(super) fn follow(&mut self, leader: Option<id::Replica>) {
+    /// Becomes a follower, of the given leader if one is known.
+    pub(super) fn become_follower(&mut self, leader: Option<id::Replica>) {
         let before = self.leader();
         let state = std::mem::replace(&mut self.state, State::Follower { leader });
-        if let State::Leader(office) = state {
+        if let State::Leader(former) = state {
             self.emit(Output::SteppedDown { term: self.hard.term });
-            for read in office.reads {
+            for read in former.reads {
                 self.reject(read.token, Refusal::NotLeader { leader });
             }
         }
@@ -194,8 +194,8 @@
         }
     }
 
-    /// The leader hands over to this replica.
-    pub(super) fn take_over(&mut self, now: Instant) {
+    /// Starts an election at the leader's request, without a pre-vote.
+    pub(super) fn handle_timeout_now(&mut self, now: Instant) {
         if self.may_lead() && !self.is_leader() {
             self.campaign(now);
         }
--- a/src/consensus/election/tests.rs
+++ b/src/consensus/election/tests.rs
@@ -1,4 +1,4 @@
-//! Elections with trips between regions, in virtual time.
+//! Elections with latency between regions, in virtual time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,12 +17,12 @@
 use crate::consensus::Restored;
 use crate::id;
 
-const HEARTBEAT: Duration = Duration::from_millis(100);
-const ELECTION: Duration = Duration::from_millis(600);
-/// One way between regions.
-const TRIP: Duration = Duration::from_millis(55);
-/// From the start until replicas know where the others are.
-const LINKS_UP: Duration = Duration::from_millis(350);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
+const ELECTION_TIMEOUT: Duration = Duration::from_millis(600);
+/// One-way latency between regions.
+const ONE_WAY_LATENCY: Duration = Duration::from_millis(55);
+/// Time from the start until replicas can reach each other.
+const LINKS_UP_AFTER: Duration = Duration::from_millis(350);
 const SYNC: Duration = Duration::from_millis(2);
 
 enum Event {
@@ -30,54 +30,54 @@
     Synced(crate::unit::Sequence),
 }
 
-/// Five voters, of which some are up, each in a region of its own. Nothing arrives before links are up.
-struct World {
+/// Five voters in different regions, some of them running. Messages are lost until links are up.
+struct Simulation {
     links_up: Instant,
-    up: BTreeMap<id::Replica, Replica>,
+    running: BTreeMap<id::Replica, Replica>,
     events: BTreeMap<(Instant, u64), (id::Replica, Event)>,
     count: u64,
     now: Instant,
 }
 
-impl World {
-    fn new(up: &[u128], rng: &mut SmallRng) -> Self {
+impl Simulation {
+    fn new(running: &[u128], rng: &mut SmallRng) -> Self {
         let now = Instant::now();
         let members = Members::new((1..=5).map(id::Replica::new));
         let start = |nth: &u128, rng: &mut SmallRng| {
             let id = id::Replica::new(*nth);
-            let config = Config::new(id).with_pace(HEARTBEAT, ELECTION);
+            let config = Config::new(id).with_timing(HEARTBEAT_INTERVAL, ELECTION_TIMEOUT);
             let rng = SmallRng::from_rng(rng);
             (id, Replica::new(config, Restored::new(members.clone()), rng, now))
         };
-        let up = up.iter().map(|nth| start(nth, rng)).collect();
-        Self { links_up: now + LINKS_UP, up, events: BTreeMap::new(), count: 0, now }
+        let running = running.iter().map(|nth| start(nth, rng)).collect();
+        Self { links_up: now + LINKS_UP_AFTER, running, events: BTreeMap::new(), count: 0, now }
     }
 
-    fn at(&mut self, after: Duration, to: id::Replica, event: Event) {
+    fn schedule(&mut self, after: Duration, to: id::Replica, event: Event) {
         self.count += 1;
         self.events.insert((self.now + after, self.count), (to, event));
     }
 
     fn step(&mut self, id: id::Replica, input: Input) {
         let now = self.now;
-        let outputs = self.up.get_mut(&id).map(|replica| replica.step(input, now));
+        let outputs = self.running.get_mut(&id).map(|replica| replica.step(input, now));
         for output in outputs.unwrap_or_default() {
             match output {
                 Output::Send { .. } if self.now < self.links_up => (),
                 Output::Send { to, message } => {
-                    self.at(TRIP, to, Event::Receive { from: id, message });
+                    self.schedule(ONE_WAY_LATENCY, to, Event::Receive { from: id, message });
                 }
-                Output::Persist(write) => self.at(SYNC, id, Event::Synced(write.sequence)),
+                Output::Persist(write) => self.schedule(SYNC, id, Event::Synced(write.sequence)),
                 _ => (),
             }
         }
     }
 
-    /// Runs until there is a leader that a majority follows, and returns when.
-    fn until_led(&mut self) -> Duration {
+    /// Runs until a majority follows one leader and returns the elapsed time.
+    fn run_until_leader(&mut self) -> Duration {
         let start = self.now;
         loop {
-            let timers = self.up.values().map(|replica| (replica.deadline(), replica.id()));
+            let timers = self.running.values().map(|replica| (replica.deadline(), replica.id()));
             let (due, ticks) = timers.min().unwrap();
             let next = self.events.first_key_value().map(|(&(at, _), _)| at);
             if next.is_some_and(|at| at <= due) {
@@ -93,40 +93,40 @@
                 self.step(ticks, Input::Tick);
             }
             let following = |leader| {
-                self.up.values().filter(|replica| replica.leader() == Some(leader)).count()
+                self.running.values().filter(|replica| replica.leader() == Some(leader)).count()
             };
-            if self.up.keys().any(|&leader| following(leader) >= 3) {
+            if self.running.keys().any(|&leader| following(leader) >= 3) {
                 return self.now - start;
             }
-            assert!(self.now - start < Duration::from_secs(60), "there is never a leader");
+            assert!(self.now - start < Duration::from_secs(60), "no leader was elected");
         }
     }
 }
 
-fn times(up: &[u128]) -> Vec<Duration> {
+fn election_times(running: &[u128]) -> Vec<Duration> {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut times: Vec<Duration> = (0..400)
         .map(|_| {
             let mut rng = SmallRng::seed_from_u64(rng.random());
-            World::new(up, &mut rng).until_led()
+            Simulation::new(running, &mut rng).run_until_leader()
         })
         .collect();
     times.sort_unstable();
     times
 }
 
-/// Operators' calls wait for a second where there is no leader; links take a third of one.
-const LONGEST: Duration = Duration::from_millis(1350);
+/// Operators' calls wait for a leader for one second after the links are up.
+const MAX_ELECTION_TIME: Duration = Duration::from_millis(1350);
 
-// Guards against candidates that split the votes of the three that came back of five, so that nothing is served for seconds.
+// Guards against repeated split votes when three of five voters restart together.
 #[test]
 fn three_of_five_that_start_together_have_a_leader_soon() {
-    let times = times(&[1, 2, 3]);
-    assert!(times[times.len() - 1] < LONGEST, "{:?}", times[times.len() - 1]);
+    let times = election_times(&[1, 2, 3]);
+    assert!(times[times.len() - 1] < MAX_ELECTION_TIME, "{:?}", times[times.len() - 1]);
 }
 
 #[test]
 fn five_that_start_together_have_a_leader_soon() {
-    let times = times(&[1, 2, 3, 4, 5]);
-    assert!(times[times.len() - 1] < LONGEST, "{:?}", times[times.len() - 1]);
+    let times = election_times(&[1, 2, 3, 4, 5]);
+    assert!(times[times.len() - 1] < MAX_ELECTION_TIME, "{:?}", times[times.len() - 1]);
 }
--- a/src/consensus/entry.rs
+++ b/src/consensus/entry.rs
@@ -10,10 +10,11 @@
 use crate::unit::Index;
 use crate::unit::Term;
 
-/// What an entry costs besides its data: its position, and its share of the buffers that hold it.
+/// Estimated memory for an entry besides its data.
 const OVERHEAD_BYTES: usize = 48;
 
-/// The place of an entry: its term and its index. Ordered as logs are compared in elections.
+/// The index of an entry and the term in which it was appended. Ordered by term and then by index,
+/// as elections compare logs.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -25,7 +26,7 @@
 }
 
 impl Position {
-    /// The position of that index, appended in that term.
+    /// Creates a position.
     pub const fn new(index: Index, term: Term) -> Self {
         Self { term, index }
     }
@@ -37,25 +38,25 @@
     }
 }
 
-/// What an entry holds.
+/// The content of an entry.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing: the first entry of a leader, which commits what earlier terms left behind.
+    /// No-op: the first entry of a leader's term, which commits the entries of earlier terms.
     Empty,
     /// A command for the state machine.
     Data(Bytes),
     /// The members of the group from this entry on.
     Members(Members),
-    /// Data that a witness was not given.
+    /// Placeholder for data that is not sent to a witness.
     Withheld,
 }
 
 /// One entry of the log.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// Where it stands.
+    /// The index and the term.
     pub position: Position,
-    /// What it holds.
+    /// The content.
     pub payload: Payload,
 }
 
@@ -75,7 +76,7 @@
         self.position.term
     }
 
-    /// The bytes that the entry takes in memory, roughly.
+    /// The approximate size of the entry in memory.
     pub fn size(&self) -> usize {
         match &self.payload {
             Payload::Data(data) => OVERHEAD_BYTES + data.len(),
@@ -83,7 +84,7 @@
         }
     }
 
-    /// The entry as a witness gets it: position and members, never data.
+    /// The entry as sent to a witness, with its position and members but no data.
     #[must_use]
     pub fn without_data(&self) -> Self {
         let payload = match &self.payload {
--- a/src/consensus/errors.rs
+++ b/src/consensus/errors.rs
@@ -1,64 +1,64 @@
-//! Why a replica refuses what it was asked. A refusal is final: nothing of it was appended.
+//! Errors of a replica.
 
 use thiserror::Error;
 
 use super::Position;
 use crate::id;
 
-/// Durable state that no replica may start from: parts of it are missing or from elsewhere.
+/// Persisted state that is incomplete or inconsistent, so that a replica must not start from it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum Broken {
-    /// Entries are missing.
-    #[error("the log has a gap after {after}")]
+pub enum RestoreError {
+    /// Entries are missing from the log.
+    #[error("the log has a gap after entry {after}")]
     Gap {
-        /// The last entry before it.
+        /// The last entry before the gap.
         after: Position,
     },
-    /// Terms fall from one entry to the next.
-    #[error("the term falls at {at}")]
-    Term {
+    /// The term decreases from one entry to the next.
+    #[error("the term decreases at entry {at}")]
+    DecreasingTerm {
         /// The entry with the lower term.
         at: Position,
     },
-    /// The log has entries of a term that the replica says it never entered.
-    #[error("the term on record is lower than that of {at}")]
-    HardState {
+    /// The persisted term is lower than that of a log entry.
+    #[error("the persisted term is lower than that of entry {at}")]
+    StaleHardState {
         /// The entry with the higher term.
         at: Position,
     },
 }
 
-/// A refused proposal, read, change or transfer. Nothing of it is in the log or will be.
+/// A refused proposal, read, change or transfer. It has not been appended and never will be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Refusal {
-    /// Another replica leads, or none that this one knows of.
-    #[error("this replica does not lead")]
+    /// This replica is not the leader.
+    #[error("this replica is not the leader")]
     NotLeader {
-        /// Whom to ask instead.
+        /// The current leader, if known.
         leader: Option<id::Replica>,
     },
-    /// The log holds as much as it may; the caller should come back later.
-    #[error("the log is full until a snapshot is taken or entries are committed")]
-    Full,
-    /// The leader is handing over and takes nothing more.
-    #[error("the leader is handing over")]
-    HandingOver,
-    /// The leader has not committed an entry of its own term yet.
-    #[error("the leader has committed no entry of its term yet")]
+    /// The log has reached its size limit; the caller should retry later.
+    #[error("the log has reached its size limit; retry later")]
+    LogFull,
+    /// A leadership transfer is in progress.
+    #[error("a leadership transfer is in progress")]
+    TransferInProgress,
+    /// The leader has not committed an entry of its term yet.
+    #[error("the leader has not committed an entry of its term yet")]
     NotReady,
-    /// The last change of members is not committed yet.
-    #[error("another change of members is not committed yet")]
+    /// The previous membership change is not committed yet.
+    #[error("another membership change is not committed yet")]
     ChangePending,
-    /// The learner lacks committed entries or was not heard of.
+    /// The learner lacks committed entries or does not respond.
     #[error("the learner is not caught up")]
     NotCaughtUp,
-    /// The members after the change would have no majority that was heard of.
-    #[error("no majority would remain in touch")]
+    /// No majority of the new members is responsive.
+    #[error("no majority of the new members is responsive")]
     NoMajority,
-    /// A group has one witness at most.
-    #[error("the group has a witness already")]
-    SecondWitness,
-    /// The change or transfer names a replica that doesn't suit it.
-    #[error("the replica named does not suit")]
-    Unsuitable,
+    /// The group already has a witness.
+    #[error("the group already has a witness")]
+    WitnessExists,
+    /// The change does not apply to the given replica.
+    #[error("the change does not apply to this replica")]
+    InvalidTarget,
 }
--- a/src/consensus/fault.rs
+++ b/src/consensus/fault.rs
@@ -1,26 +1,26 @@
-//! Faults planted to show that the checks find them. A replica has one only where tests are built.
+//! Faults injected by tests to show that the model checker detects them.
 
-/// A known way to get the protocol wrong.
+/// A protocol violation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     /// Commits entries of earlier terms by counting replicas.
-    SkipOwnTerm,
-    /// Changes members before an entry of the own term is committed.
+    CommitEarlierTerm,
+    /// Changes members before an entry of the current term is committed.
     EarlyChange,
-    /// Votes without knowing any members, as a replica that lost its folder.
-    AmnesiacVote,
-    /// Counts learners when it commits.
+    /// Votes without being in a member list, like a replica that lost its folder.
+    VoteWithoutMembers,
+    /// Counts learners towards the commit quorum.
     CountLearner,
-    /// Acknowledges and counts entries before they are synced.
+    /// Acknowledges and counts entries before they are persisted.
     CountUnsynced,
-    /// Sends to and counts the witness while another data voter is in touch.
+    /// Sends entries to the witness before all responsive data voters have persisted them.
     EarlyWitness,
-    /// Gives a second vote in a term.
+    /// Votes twice in a term.
     VoteTwice,
     /// Votes for candidates whose log is behind its own.
     VoteForStale,
     /// Sends data to the witness.
     DataToWitness,
-    /// Answers reads without confirming that it still leads.
+    /// Answers reads without confirming its leadership.
     UnconfirmedRead,
 }
--- a/src/consensus/finish.rs
+++ b/src/consensus/finish.rs
@@ -1,4 +1,5 @@
-//! The end of a step: one write, what may leave by now, and what is to be applied.
+//! End of a step: emits the write, releases messages whose writes are persisted, and applies
+//! entries.
 
 use tokio::time::Instant;
 
@@ -9,59 +10,65 @@
 use crate::unit::Sequence;
 
 impl Replica {
-    pub(super) fn finish(&mut self, now: Instant) -> Vec<Output> {
+    pub(super) fn finish_step(&mut self, now: Instant) -> Vec<Output> {
         loop {
-            self.write();
-            if !self.release(now) {
+            self.emit_persist();
+            if !self.release_sends(now) {
                 break;
             }
         }
         self.apply();
         self.finish_reads();
-        self.shorten();
-        if *self.log.members() != self.announced {
-            self.announced = self.log.members().clone();
-            self.emit(Output::MembersChanged(self.announced.clone()));
+        self.compact_if_due();
+        if *self.log.members() != self.reported_members {
+            self.reported_members = self.log.members().clone();
+            self.emit(Output::MembersChanged(self.reported_members.clone()));
         }
         std::mem::take(&mut self.outputs)
     }
 
-    fn write(&mut self) {
-        if let Some(persist) = self.log.write() {
+    fn emit_persist(&mut self) {
+        if let Some(persist) = self.log.take_write() {
             self.emit(Output::Persist(persist));
         }
         let issued = self.log.issued();
-        for held in self.held.iter_mut().filter(|held| held.until > issued) {
-            held.until = issued;
+        for pending in self.pending_sends.iter_mut().filter(|pending| pending.after > issued) {
+            pending.after = issued;
         }
     }
 
-    /// Sends what was held back and may leave now. Says whether the own vote was among it.
-    fn release(&mut self, now: Instant) -> bool {
-        let confirmed = self.log.confirmed();
+    /// Sends the pending messages whose writes are persisted. Returns whether its own vote was
+    /// among them.
+    fn release_sends(&mut self, now: Instant) -> bool {
+        let confirmed = self.log.last_persisted();
         let unsynced = self.has_fault(Fault::CountUnsynced);
-        let mut own = false;
-        while self.held.front().is_some_and(|held| unsynced || held.until <= confirmed) {
-            let Some(held) = self.held.pop_front() else {
+        let mut own_vote = false;
+        while self
+            .pending_sends
+            .front()
+            .is_some_and(|pending| unsynced || pending.after <= confirmed)
+        {
+            let Some(pending) = self.pending_sends.pop_front() else {
                 break;
             };
-            if held.to == self.id() {
-                own = true;
-                self.receive(held.to, held.message, now);
+            if pending.to == self.id() {
+                own_vote = true;
+                self.receive(pending.to, pending.message, now);
             } else {
-                self.send(held.to, held.message);
+                self.send(pending.to, pending.message);
             }
         }
-        own
+        own_vote
     }
 
-    pub(super) fn persisted(&mut self, sequence: Sequence) {
-        self.log.persisted(sequence);
+    pub(super) fn handle_persisted(&mut self, sequence: Sequence) {
+        self.log.mark_persisted(sequence);
         self.advance_commit();
         self.send_witness();
     }
 
-    /// Gives out what is committed and synced here. A snapshot of it then never runs ahead of the log.
+    /// Emits the entries that are committed and persisted locally. A snapshot of them thus never
+    /// gets ahead of the persisted log.
     fn apply(&mut self) {
         let end = self.commit.min(self.log.synced());
         if end <= self.applied {
@@ -74,8 +81,9 @@
         }
     }
 
-    /// Keeps the log short. A witness needs no snapshot of a state machine to do so.
-    fn shorten(&mut self) {
+    /// Requests a snapshot when the log has grown enough. A witness has no state machine and
+    /// compacts at once.
+    fn compact_if_due(&mut self) {
         let covered = self.log.snapshot().position.index;
         let entries = self.applied.saturating_sub(covered).get();
         let many = entries >= self.config.snapshot_entries as u64;
@@ -84,15 +92,16 @@
         }
         if self.config.witness {
             self.log.compact(self.applied, 0, 0);
-            self.log.rewrite();
-            self.write();
+            self.log.reset_to_snapshot();
+            self.emit_persist();
         } else if !self.snapshot_due {
             self.snapshot_due = true;
             self.emit(Output::SnapshotDue { index: self.applied });
         }
     }
 
-    /// The driver holds a snapshot: drops what it covers, but for a tail for those that are a little behind.
+    /// Drops the entries covered by a new snapshot, except for a tail for followers that lag
+    /// slightly.
     pub(super) fn compact(&mut self, index: Index) {
         self.snapshot_due = false;
         if index > self.applied {
--- a/src/consensus/follower.rs
+++ b/src/consensus/follower.rs
@@ -1,4 +1,4 @@
-//! Receiving: terms first, then each message in its place.
+//! Message handling, and the follower's side of replication.
 
 use tokio::time::Instant;
 
@@ -17,11 +17,11 @@
 impl Replica {
     pub(super) fn receive(&mut self, from: id::Replica, message: Message, now: Instant) {
         let Message { term, body } = message;
-        // A pre-vote and its grant carry a term that nobody has entered yet.
+        // Pre-votes and their grants carry the term of a prospective election.
         match body {
-            Body::PreVote { last } => return self.answer_pre_vote(from, term, last, now),
+            Body::PreVote { last } => return self.handle_pre_vote(from, term, last, now),
             Body::PreVoteAnswer { granted: true } => {
-                return self.take_pre_vote(from, term, true, now);
+                return self.handle_pre_vote_answer(from, term, true, now);
             }
             _ => {}
         }
@@ -33,34 +33,36 @@
         }
         match body {
             Body::PreVote { .. } | Body::Stale => {}
-            Body::PreVoteAnswer { granted } => self.take_pre_vote(from, term, granted, now),
-            Body::Vote { last } => self.answer_vote(from, last, now),
-            Body::VoteAnswer { granted } => self.take_vote(from, granted, now),
+            Body::PreVoteAnswer { granted } => {
+                self.handle_pre_vote_answer(from, term, granted, now);
+            }
+            Body::Vote { last } => self.handle_vote(from, last, now),
+            Body::VoteAnswer { granted } => self.handle_vote_answer(from, granted, now),
             Body::Append { previous, entries, commit, round } => {
-                if self.hear(from, now) {
-                    self.take_entries(from, previous, entries, commit, round);
+                if self.accept_leader(from, now) {
+                    self.handle_append(from, previous, entries, commit, round);
                 }
             }
             Body::Snapshot { snapshot, round } => {
-                if self.hear(from, now) {
-                    self.take_snapshot(from, snapshot, round);
+                if self.accept_leader(from, now) {
+                    self.handle_snapshot(from, snapshot, round);
                 }
             }
             Body::Matched { index, witness, round } => {
-                self.take_matched(from, index, witness, round, now);
+                self.handle_matched(from, index, witness, round, now);
             }
             Body::Mismatched { hint, witness, round } => {
-                self.take_mismatched(from, hint, witness, round, now);
+                self.handle_mismatched(from, hint, witness, round, now);
             }
-            Body::Installing { round } => self.take_installing(from, round, now),
-            Body::TimeoutNow => self.take_over(now),
+            Body::Installing { round } => self.handle_installing(from, round, now),
+            Body::TimeoutNow => self.handle_timeout_now(now),
         }
     }
 
-    /// Tells a leader or candidate of an earlier term that its time is over.
+    /// Notifies a leader or candidate of an earlier term that its term has ended.
     ///
-    /// The answer carries no round: its sender may lead this very term by the time it comes, and would take a
-    /// round of its former term for one of this term, and answer reads that nobody confirmed.
+    /// The response carries no round: its sender may lead the current term by the time it arrives,
+    /// and would count a round of its earlier term as confirmation of reads in this one.
     fn answer_stale(&mut self, from: id::Replica, body: &Body) {
         match *body {
             Body::Append { .. } | Body::Snapshot { .. } => self.send_synced(from, Body::Stale),
@@ -69,17 +71,18 @@
         }
     }
 
-    /// Notes the leader of this term. A second one can't be: its messages are dropped.
-    fn hear(&mut self, from: id::Replica, now: Instant) -> bool {
+    /// Records the sender as leader of this term. Returns false if this replica itself leads the
+    /// term.
+    fn accept_leader(&mut self, from: id::Replica, now: Instant) -> bool {
         if self.is_leader() {
             return false;
         }
-        self.follow(Some(from));
-        self.hear_leader(now);
+        self.become_follower(Some(from));
+        self.record_leader_contact(now);
         true
     }
 
-    fn take_entries(
+    fn handle_append(
         &mut self,
         from: id::Replica,
         previous: Position,
@@ -87,7 +90,7 @@
         commit: Index,
         round: Round,
     ) {
-        if !self.log.agrees(previous) {
+        if !self.log.matches(previous) {
             let hint = self.hint(previous);
             let witness = self.config.witness;
             return self.send_synced(from, Body::Mismatched { hint, witness, round });
@@ -103,7 +106,7 @@
         self.send_synced(to, Body::Matched { index, witness, round });
     }
 
-    /// The last index at which the logs may agree: before the whole term that differs.
+    /// The last index at which the logs may match: skips all entries of the conflicting term.
     fn hint(&self, previous: Position) -> Index {
         let last = self.log.last();
         if previous.index > last.index {
@@ -121,13 +124,13 @@
         index.max(self.commit)
     }
 
-    fn take_snapshot(&mut self, from: id::Replica, snapshot: Snapshot, round: Round) {
+    fn handle_snapshot(&mut self, from: id::Replica, snapshot: Snapshot, round: Round) {
         let index = snapshot.position.index;
         if index <= self.commit {
             return self.answer_matched(from, index, round);
         }
         if self.config.witness {
-            // There is no data to fetch: the position and the members are all that a witness keeps.
+            // A witness keeps only the position and the members, so there is no data to fetch.
             self.install(snapshot);
             return self.answer_matched(from, index, round);
         }
@@ -138,7 +141,7 @@
         self.send_synced(from, Body::Installing { round });
     }
 
-    /// Takes over a snapshot that the driver has loaded, unless more is applied already.
+    /// Installs a snapshot loaded by the driver, unless later entries are already applied.
     pub(super) fn install(&mut self, snapshot: Snapshot) {
         self.installing = false;
         let index = snapshot.position.index;
--- a/src/consensus/input.rs
+++ b/src/consensus/input.rs
@@ -1,4 +1,4 @@
-//! What a driver tells its replica.
+//! Inputs of a replica.
 
 use bytes::Bytes;
 
@@ -9,12 +9,12 @@
 use crate::unit::Index;
 use crate::unit::Sequence;
 
-/// A number by which the driver knows its proposal, read or change again.
+/// Identifies a proposal, read or change in the outputs that answer it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Token(u64);
 
 impl Token {
-    /// A token of that number.
+    /// Creates a token from its number.
     pub const fn new(number: u64) -> Self {
         Self(number)
     }
@@ -25,57 +25,58 @@
     }
 }
 
-/// One input of a step.
+/// An input of [`Replica::step`](super::Replica::step).
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Input {
-    /// Time has passed; due at [`Replica::deadline`](super::Replica::deadline) at the latest.
+    /// Time has passed. Due at [`Replica::deadline`](super::Replica::deadline) at the latest.
     Tick,
-    /// A message came. The driver has checked that it is from that identity and meant for this one.
+    /// A message arrived. The driver has verified its sender and that it is addressed to this
+    /// replica.
     Receive {
-        /// Whom it is from.
+        /// The sender.
         from: id::Replica,
         /// The message.
         message: Message,
     },
-    /// Append a command.
+    /// Propose a command.
     Propose {
         /// The command.
         data: Bytes,
         /// The driver's number for it.
         token: Token,
     },
-    /// Asks up to where the state machine must be applied so that a read sees all that was committed before it.
+    /// Request a linearizable read: the index up to which the state machine must be applied.
     Read {
         /// The driver's number for it.
         token: Token,
     },
-    /// Change one member.
+    /// Change a member.
     Change {
         /// The change.
         change: Change,
         /// The driver's number for it.
         token: Token,
     },
-    /// All writes up to this one are synced.
+    /// All writes up to this one are persisted.
     Persisted {
-        /// The last synced write.
+        /// The last persisted write.
         sequence: Sequence,
     },
-    /// The driver holds a synced snapshot of the state machine after that entry.
+    /// The driver has persisted a snapshot of the state machine.
     SnapshotTaken {
-        /// The last entry that it covers; applied already.
+        /// The last entry it covers, which must be applied already.
         index: Index,
     },
-    /// The driver has fetched, synced and loaded a snapshot (the one offered or a later one).
+    /// The driver has fetched, persisted and loaded the offered snapshot or a later one.
     SnapshotInstalled {
-        /// What it stands for.
+        /// The position and members of the snapshot.
         snapshot: Snapshot,
     },
-    /// The snapshot offered could not be fetched or stored, or the one due not be taken; either may be asked for again.
+    /// A snapshot could not be fetched, stored or taken. It may be requested again.
     SnapshotFailed,
-    /// Hand over the leadership, as before a graceful stop.
+    /// Transfer the leadership, for example before a graceful stop.
     Transfer {
-        /// To whom; without it, to the voter whose log is longest.
+        /// The new leader; `None` selects the responsive voter with the longest log.
         to: Option<id::Replica>,
     },
 }
--- a/src/consensus/leader.rs
+++ b/src/consensus/leader.rs
@@ -1,4 +1,4 @@
-//! Leading: heartbeats, replication, commitment and stepping down.
+//! Leader: heartbeats and log replication.
 
 use std::collections::BTreeMap;
 
@@ -24,37 +24,38 @@
 use crate::unit::Index;
 use crate::unit::Round;
 
-/// What only a leader has.
+/// Leader-only state.
 #[derive(Debug, Clone)]
 pub(super) struct Leader {
     pub(super) progress: BTreeMap<id::Replica, Progress>,
-    /// The first entry of the own term.
-    pub(super) start: Index,
-    /// The last round begun, and the last one that a majority answered.
+    /// The index of the first entry of the leader's term.
+    pub(super) term_start: Index,
+    /// The last heartbeat round started, and the last one that a majority answered.
     pub(super) round: Round,
     pub(super) confirmed: Round,
     pub(super) reads: Vec<Read>,
     pub(super) transfer: Option<Transfer>,
-    /// What was committed at the last heartbeat.
-    pub(super) mark: Index,
-    /// The last entry that the witness was sent.
-    pub(super) witnessed: Index,
+    /// The commit index at the last heartbeat.
+    pub(super) heartbeat_commit: Index,
+    /// The last index sent to the witness.
+    pub(super) witness_sent: Index,
 }
 
 impl Replica {
-    /// Takes office, and appends an entry of the own term: only through it may earlier terms be committed.
-    pub(super) fn lead(&mut self, now: Instant) {
+    /// Becomes leader and appends a no-op of the current term, which allows entries of earlier
+    /// terms to be committed.
+    pub(super) fn become_leader(&mut self, now: Instant) {
         let last = self.log.last().index;
         let others = self.log.members().iter().map(|(id, _)| id).filter(|&id| id != self.id());
         let leader = Leader {
             progress: others.map(|id| (id, Progress::new(last, now))).collect(),
-            start: last.next(),
+            term_start: last.next(),
             round: Round::ZERO,
             confirmed: Round::ZERO,
             reads: Vec::new(),
             transfer: None,
-            mark: self.commit,
-            witnessed: Index::ZERO,
+            heartbeat_commit: self.commit,
+            witness_sent: Index::ZERO,
         };
         self.state = State::Leader(Box::new(leader));
         self.emit(Output::BecameLeader { term: self.hard.term });
@@ -65,9 +66,9 @@
         self.send_all();
     }
 
-    /// Whether an entry of the own term is committed.
+    /// Whether an entry of the current term is committed.
     pub(super) fn is_ready(&self) -> bool {
-        matches!(&self.state, State::Leader(leader) if leader.start <= self.commit)
+        matches!(&self.state, State::Leader(leader) if leader.term_start <= self.commit)
     }
 
     pub(super) fn append(&mut self, payload: Payload) -> Position {
@@ -78,8 +79,8 @@
 
     pub(super) fn propose(&mut self, payload: Payload, token: Token) {
         let refusal = match &self.state {
-            State::Leader(leader) if leader.transfer.is_some() => Some(Refusal::HandingOver),
-            State::Leader(_) if self.log.bytes() > self.config.log_bytes => Some(Refusal::Full),
+            State::Leader(leader) if leader.transfer.is_some() => Some(Refusal::TransferInProgress),
+            State::Leader(_) if self.log.bytes() > self.config.log_bytes => Some(Refusal::LogFull),
             State::Leader(_) => None,
             _ => Some(Refusal::NotLeader { leader: self.leader() }),
         };
@@ -104,32 +105,32 @@
         }
     }
 
-    /// A heartbeat to each member, with entries where there is room.
-    pub(super) fn beat(&mut self, now: Instant) {
+    /// Sends every member a heartbeat, with entries if the send window allows.
+    pub(super) fn send_heartbeats(&mut self, now: Instant) {
         self.restart_heartbeat(now);
         self.begin_round();
         let commit = self.commit;
         if let State::Leader(leader) = &mut self.state {
-            leader.mark = commit;
+            leader.heartbeat_commit = commit;
         }
         for to in self.others() {
             self.send_entries(to, true);
         }
     }
 
-    /// Sends what fits, and at least an empty message if it is a heartbeat.
+    /// Sends as many entries as the send window allows; for a heartbeat, at least an empty message.
     pub(super) fn send_entries(&mut self, to: id::Replica, heartbeat: bool) {
         if let Some(progress) = self.progress_mut(to)
             && heartbeat
         {
-            progress.probe_again();
+            progress.resume_probe();
         }
-        let mut quiet = true;
+        let mut nothing_sent = true;
         while let Some(body) = self.next_append(to) {
-            quiet = false;
+            nothing_sent = false;
             self.send(to, Message::new(self.hard.term, body));
         }
-        if quiet
+        if nothing_sent
             && heartbeat
             && let Some(body) = self.heartbeat(to)
         {
@@ -144,9 +145,9 @@
         }
     }
 
-    /// The next message with entries, or a probe without any, if one may leave.
+    /// The next message with entries, or an empty probe, if one may be sent.
     fn next_append(&mut self, to: id::Replica) -> Option<Body> {
-        let limit = self.limit(to);
+        let limit = self.send_limit(to);
         let witness = self.log.members().role(to) == Some(Role::Witness);
         let with_data = !witness || self.has_fault(Fault::DataToWitness);
         let State::Leader(leader) = &mut self.state else {
@@ -155,18 +156,18 @@
         let progress = leader.progress.get_mut(&to)?;
         let before = progress.next.saturating_sub(Index::new(1));
         let Some(previous) = self.log.position(before) else {
-            progress.need_snapshot();
+            progress.enter_snapshot_mode();
             return None;
         };
         let pending = progress.next <= limit || matches!(progress.mode, Mode::Probe { .. });
-        if !pending || !progress.has_room(&self.config) {
+        if !pending || !progress.can_send(&self.config) {
             return None;
         }
         let mut entries = self.log.slice(progress.next, limit, self.config.append_bytes);
         let last = entries.last().map_or(before, Entry::index);
-        progress.sent(last, entries.iter().map(Entry::size).sum());
+        progress.record_sent(last, entries.iter().map(Entry::size).sum());
         if witness {
-            leader.witnessed = leader.witnessed.max(last.min(limit));
+            leader.witness_sent = leader.witness_sent.max(last.min(limit));
         }
         if !with_data {
             entries = entries.iter().map(Entry::without_data).collect();
@@ -174,7 +175,8 @@
         Some(Body::Append { previous, entries, commit: self.commit, round: leader.round })
     }
 
-    /// A message without entries: the snapshot that the member needs, or a plain heartbeat.
+    /// A message without entries: the offer of a snapshot if the member needs one, else an empty
+    /// append.
     fn heartbeat(&self, to: id::Replica) -> Option<Body> {
         let State::Leader(leader) = &self.state else {
             return None;
--- a/src/consensus/log.rs
+++ b/src/consensus/log.rs
@@ -1,4 +1,4 @@
-//! The log in memory: a snapshot's position, the entries kept, and how much of them is synced.
+//! The in-memory log: the snapshot's position, the entries kept, and how far they are persisted.
 
 use std::collections::VecDeque;
 
@@ -12,26 +12,26 @@
 use crate::unit::Index;
 use crate::unit::Sequence;
 
-/// The replicated log of one replica and its writes.
+/// The replicated log of one replica and its unconfirmed writes.
 #[derive(Debug, Clone)]
 pub struct Log {
     snapshot: Snapshot,
     entries: VecDeque<Entry>,
     bytes: usize,
-    /// Entries that change members, with the members from there on.
+    /// Membership changes in the log: the index of each, and the members from there on.
     members: Vec<(Index, Members)>,
-    /// The last synced index.
+    /// The last persisted index.
     synced: Index,
-    /// Writes asked for and not confirmed, each with the log's end as it left it.
+    /// Unconfirmed writes, each with the last index of the log at that point.
     writes: VecDeque<(Sequence, Index)>,
     issued: Sequence,
-    /// What the next write has to hold.
-    next: Draft,
+    /// Changes to include in the next write.
+    pending: PendingWrite,
 }
 
-/// What changed since the last write was asked for.
+/// Changes since the last write was issued.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-struct Draft {
+struct PendingWrite {
     hard: Option<HardState>,
     reset: bool,
     truncate: Option<Index>,
@@ -39,8 +39,10 @@
 }
 
 impl Log {
-    /// The log as restored: all of it is synced. Entries that a later snapshot replaced are dropped: a crash
-    /// between the snapshot's sync and the write that starts the log anew leaves them behind.
+    /// Restores a log, all of which is persisted.
+    ///
+    /// Drops entries that a newer snapshot replaced: a crash between persisting the snapshot and
+    /// resetting the log leaves them on disk.
     pub fn new(snapshot: Snapshot, entries: Vec<Entry>) -> Self {
         let mut log = Self {
             synced: snapshot.position.index,
@@ -50,7 +52,7 @@
             members: Vec::new(),
             writes: VecDeque::new(),
             issued: Sequence::ZERO,
-            next: Draft::default(),
+            pending: PendingWrite::default(),
         };
         for entry in entries {
             log.push(entry);
@@ -66,12 +68,12 @@
         log
     }
 
-    /// The end of the log.
+    /// The position of the last entry.
     pub fn last(&self) -> Position {
         self.entries.back().map_or(self.snapshot.position, |e| e.position)
     }
 
-    /// The first index that is still kept as an entry.
+    /// The first index kept as an entry.
     pub fn first(&self) -> Index {
         self.entries.front().map_or_else(|| self.snapshot.position.index.next(), Entry::index)
     }
@@ -81,28 +83,28 @@
         &self.snapshot
     }
 
-    /// The last synced index.
+    /// The last persisted index.
     pub const fn synced(&self) -> Index {
         self.synced
     }
 
-    /// The bytes that the entries take.
+    /// The approximate size of the entries in memory.
     pub const fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// The members as of the end of the log.
+    /// The current members, committed or not.
     pub fn members(&self) -> &Members {
         self.members.last().map_or(&self.snapshot.members, |(_, members)| members)
     }
 
-    /// The members as of an index.
+    /// The members at an index.
     pub fn members_at(&self, index: Index) -> &Members {
         let change = self.members.iter().rev().find(|(at, _)| *at <= index);
         change.map_or(&self.snapshot.members, |(_, members)| members)
     }
 
-    /// The index of the last change of members, the snapshot's where there is none since.
+    /// The index of the last membership change, or of the snapshot if there is none after it.
     pub fn members_index(&self) -> Index {
         self.members.last().map_or(self.snapshot.position.index, |&(at, _)| at)
     }
@@ -113,7 +115,7 @@
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// The position at an index, if the log knows its term.
+    /// The position at an index, if its term is known.
     pub fn position(&self, index: Index) -> Option<Position> {
         if index == self.snapshot.position.index {
             return Some(self.snapshot.position);
@@ -121,13 +123,13 @@
         self.get(index).map(|entry| entry.position)
     }
 
-    /// Whether the log has this very entry, or it is covered by the snapshot and thus committed.
-    pub fn agrees(&self, position: Position) -> bool {
+    /// Whether the log contains this entry, or the snapshot covers it, so that it is committed.
+    pub fn matches(&self, position: Position) -> bool {
         position.index < self.snapshot.position.index
             || self.position(position.index) == Some(position)
     }
 
-    /// The entries from an index to another one, up to that many bytes but at least one.
+    /// The entries in a range of indexes, limited to that many bytes but at least one entry.
     pub fn slice(&self, from: Index, to: Index, bytes: usize) -> Vec<Entry> {
         let mut taken = Vec::new();
         let mut size = 0;
@@ -143,9 +145,9 @@
         taken
     }
 
-    /// Adds an entry after the last one.
+    /// Appends an entry.
     pub fn append(&mut self, entry: Entry) {
-        self.next.append.get_or_insert(entry.index());
+        self.pending.append.get_or_insert(entry.index());
         self.push(entry);
     }
 
@@ -160,10 +162,10 @@
         self.entries.push_back(entry);
     }
 
-    /// Takes in a leader's entries: keeps those that agree, and replaces all from the first that doesn't.
+    /// Appends a leader's entries, replacing all entries from the first conflicting one on.
     pub fn merge(&mut self, entries: Vec<Entry>) {
         for entry in entries {
-            if self.agrees(entry.position) {
+            if self.matches(entry.position) {
                 continue;
             }
             if entry.index() <= self.last().index {
@@ -184,11 +186,11 @@
         for (_, last) in &mut self.writes {
             *last = (*last).min(end);
         }
-        self.next.truncate = Some(self.next.truncate.map_or(from, |at| at.min(from)));
-        self.next.append = self.next.append.filter(|&at| at < from);
+        self.pending.truncate = Some(self.pending.truncate.map_or(from, |at| at.min(from)));
+        self.pending.append = self.pending.append.filter(|&at| at < from);
     }
 
-    /// Starts again after a snapshot, and keeps what follows it if the log agrees with it.
+    /// Installs a snapshot. Entries after it are kept if the log matches it, else discarded.
     pub fn install(&mut self, snapshot: Snapshot) {
         let position = snapshot.position;
         if self.position(position.index) == Some(position) {
@@ -205,11 +207,12 @@
             *last = position.index;
         }
         let append = self.entries.front().map(Entry::index);
-        self.next = Draft { hard: self.next.hard, reset: true, truncate: None, append };
+        self.pending =
+            PendingWrite { hard: self.pending.hard, reset: true, truncate: None, append };
     }
 
-    /// Notes a snapshot of the own state machine, and drops the entries that it covers but for a tail of
-    /// at most that many entries and bytes. Returns the last dropped index.
+    /// Records a local snapshot and drops the entries it covers, except for a tail limited to that
+    /// many entries and bytes. Returns the last dropped index.
     pub fn compact(&mut self, index: Index, entries: usize, bytes: usize) -> Option<Index> {
         let position = self.position(index).filter(|p| p.index > self.snapshot.position.index)?;
         let members = self.members_at(index).clone();
@@ -222,8 +225,8 @@
         Some(self.first().saturating_sub(Index::new(1)))
     }
 
-    /// Has the next write start the log anew after the snapshot.
-    pub fn rewrite(&mut self) {
+    /// Makes the next write reset the persisted log to the snapshot.
+    pub fn reset_to_snapshot(&mut self) {
         self.install(self.snapshot.clone());
     }
 
@@ -234,50 +237,51 @@
         }
     }
 
-    /// Notes a term and vote to be written.
+    /// Includes a term and vote in the next write.
     pub const fn set_hard(&mut self, hard: HardState) {
-        self.next.hard = Some(hard);
+        self.pending.hard = Some(hard);
     }
 
-    /// The write that covers all changes since the last one.
-    pub fn write(&mut self) -> Option<Persist> {
-        let draft = std::mem::take(&mut self.next);
-        if draft == Draft::default() {
+    /// Issues a write with all changes since the last one, if there are any.
+    pub fn take_write(&mut self) -> Option<Persist> {
+        let pending = std::mem::take(&mut self.pending);
+        if pending == PendingWrite::default() {
             return None;
         }
         self.issued = self.issued.next();
         self.writes.push_back((self.issued, self.last().index));
-        let append = draft.append.into_iter();
+        let append = pending.append.into_iter();
         Some(Persist {
             sequence: self.issued,
-            hard: draft.hard,
-            reset: draft.reset.then(|| self.snapshot.clone()),
-            truncate: draft.truncate,
+            hard: pending.hard,
+            reset: pending.reset.then(|| self.snapshot.clone()),
+            truncate: pending.truncate,
             entries: append
                 .flat_map(|from| self.slice(from, self.last().index, usize::MAX))
                 .collect(),
         })
     }
 
-    /// The last write asked for.
+    /// The last issued write.
     pub const fn issued(&self) -> Sequence {
         self.issued
     }
 
     /// The last confirmed write.
-    pub fn confirmed(&self) -> Sequence {
+    pub fn last_persisted(&self) -> Sequence {
         let open = self.writes.front().map(|&(sequence, _)| sequence);
         open.map_or(self.issued, |sequence| sequence.saturating_sub(Sequence::new(1)))
     }
 
-    /// The writes that are not confirmed: how long ago each was asked for, in writes, and the log's end.
+    /// The unconfirmed writes, each as its distance from the last issued one and the last index of
+    /// the log at that point.
     #[cfg(feature = "faults")]
     pub(super) fn open_writes(&self) -> impl Iterator<Item = (Sequence, Index)> + '_ {
         self.writes.iter().map(|&(sequence, last)| (self.issued.saturating_sub(sequence), last))
     }
 
-    /// All writes up to this one are synced.
-    pub fn persisted(&mut self, sequence: Sequence) {
+    /// Marks all writes up to this one as persisted.
+    pub fn mark_persisted(&mut self, sequence: Sequence) {
         while let Some(&(_, last)) = self.writes.front().filter(|(issued, _)| *issued <= sequence) {
             self.synced = self.synced.max(last);
             self.writes.pop_front();
--- a/src/consensus/log/tests.rs
+++ b/src/consensus/log/tests.rs
@@ -1,5 +1,3 @@
-//! The log by itself.
-
 use super::*;
 use crate::unit::Term;
 
@@ -20,33 +18,33 @@
 fn entries_that_differ_are_replaced_and_synced_anew() {
     let mut log = log(&[1, 1, 2]);
     log.merge(vec![entry(2, 1), entry(3, 3), entry(4, 3)]);
-    let write = log.write().expect("the log changed");
+    let write = log.take_write().expect("the log changed");
     assert_eq!(
         (write.truncate, write.entries),
         (Some(Index::new(3)), vec![entry(3, 3), entry(4, 3)])
     );
     assert_eq!((log.last(), log.synced()), (at(4, 3), Index::new(2)));
-    log.persisted(write.sequence);
+    log.mark_persisted(write.sequence);
     assert_eq!(log.synced(), Index::new(4));
 }
 
-/// A leader counts an entry that is on no disk. A write is under way when its entries are replaced by shorter ones,
-/// and is then confirmed: what it held beyond the new end is not synced, for it is not in the log.
+/// Guards against counting unpersisted entries: a truncation while a write is in flight limits what
+/// its confirmation covers.
 #[test]
 fn a_confirmed_write_vouches_for_no_more_than_the_log_holds() {
     let mut log = log(&[1]);
     log.merge(vec![entry(2, 1), entry(3, 1), entry(4, 1)]);
-    let first = log.write().expect("three entries");
+    let first = log.take_write().expect("three entries");
     log.merge(vec![entry(2, 2), entry(3, 2)]);
-    let second = log.write().expect("two entries");
-    log.persisted(first.sequence);
+    let second = log.take_write().expect("two entries");
+    log.mark_persisted(first.sequence);
     assert_eq!(log.synced(), Index::new(1));
-    log.persisted(second.sequence);
+    log.mark_persisted(second.sequence);
     assert_eq!(log.synced(), Index::new(3));
 }
 
-/// A restarted replica disagrees with the group. A crash came after the sync of a fetched snapshot, and before the write
-/// that drops the entries that it replaces: they are left on disk, and must not be taken for the group's.
+/// Guards against keeping conflicting entries after a crash between persisting a fetched snapshot
+/// and resetting the log.
 #[test]
 fn entries_that_a_snapshot_replaced_are_dropped_on_restart() {
     let snapshot = Snapshot { position: at(2, 3), members: Members::default() };
@@ -59,7 +57,7 @@
     let mut log = log(&[1; 10]);
     assert_eq!(log.compact(Index::new(8), 3, usize::MAX), Some(Index::new(5)));
     assert_eq!((log.first(), log.last()), (Index::new(6), at(10, 1)));
-    assert!(log.agrees(at(4, 1)) && log.position(Index::new(4)).is_none());
+    assert!(log.matches(at(4, 1)) && log.position(Index::new(4)).is_none());
 }
 
 #[test]
--- a/src/consensus/members.rs
+++ b/src/consensus/members.rs
@@ -1,4 +1,4 @@
-//! The members of a group and the changes to them.
+//! Members of a group and membership changes.
 
 use std::collections::BTreeMap;
 
@@ -8,27 +8,27 @@
 use super::Refusal;
 use crate::id;
 
-/// What a member does in its group.
+/// The role of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Role {
     /// Holds the data, votes and may lead.
     Voter,
-    /// Holds the data and does not vote yet.
+    /// Holds the data but does not vote.
     Learner,
-    /// Votes on terms and indexes, holds no data and never leads.
+    /// Votes by comparing log positions, holds no data and never leads.
     Witness,
 }
 
-/// A change of one member, so that each majority before it and each one after it share a voter.
+/// A change of one member. Changing one at a time ensures that old and new majorities overlap.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Change {
-    /// Takes in a newcomer that does not vote yet.
+    /// Adds a member that does not vote yet.
     AddLearner(id::Replica),
-    /// Takes in a witness.
+    /// Adds a witness.
     AddWitness(id::Replica),
-    /// Makes a learner that is caught up a voter.
+    /// Turns a caught-up learner into a voter.
     Promote(id::Replica),
-    /// Lets a member go. With its folder intact it may come back as a learner.
+    /// Removes a member. It may rejoin as a learner with its folder intact.
     Remove(id::Replica),
 }
 
@@ -43,7 +43,7 @@
         Self(voters.into_iter().map(|id| (id, Role::Voter)).collect())
     }
 
-    /// The same with one more member, or with another role for it.
+    /// Adds a member or changes its role.
     #[must_use]
     pub fn with_member(mut self, id: id::Replica, role: Role) -> Self {
         self.0.insert(id, role);
@@ -55,54 +55,54 @@
         self.0.get(&id).copied()
     }
 
-    /// Whether that identity is a member at all.
+    /// Whether a replica is a member.
     pub fn contains(&self, id: id::Replica) -> bool {
         self.0.contains_key(&id)
     }
 
-    /// Whether that identity votes, as a data voter or as the witness.
+    /// Whether a replica votes, as a data voter or as the witness.
     pub fn votes(&self, id: id::Replica) -> bool {
         matches!(self.role(id), Some(Role::Voter | Role::Witness))
     }
 
-    /// Whether there is no member: the log has not told yet.
+    /// Whether there are no members, as in a replica that has not received any configuration.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// All members in order of identity.
+    /// All members, ordered by identity.
     pub fn iter(&self) -> impl Iterator<Item = (id::Replica, Role)> + '_ {
         self.0.iter().map(|(&id, &role)| (id, role))
     }
 
-    /// The members with that role.
+    /// The members with a role.
     pub fn with_role(&self, role: Role) -> impl Iterator<Item = id::Replica> + '_ {
         self.iter().filter(move |&(_, r)| r == role).map(|(id, _)| id)
     }
 
-    /// All that vote: the data voters and the witness.
+    /// The voting members: data voters and the witness.
     pub fn voters(&self) -> impl Iterator<Item = id::Replica> + '_ {
         self.iter().filter(|&(_, role)| role != Role::Learner).map(|(id, _)| id)
     }
 
-    /// How many voters make a majority.
+    /// The number of voters in a majority.
     pub fn majority(&self) -> usize {
         self.voters().count() / 2 + 1
     }
 
-    /// Whether more than half of the voters hold to the condition.
+    /// Whether a majority of the voters satisfies a condition.
     pub fn has_majority(&self, condition: impl Fn(id::Replica) -> bool) -> bool {
         self.voters().filter(|&id| condition(id)).count() >= self.majority()
     }
 
-    /// The members after a change.
-    pub fn changed(&self, change: Change) -> Result<Self, Refusal> {
+    /// Applies a change.
+    pub fn with_change(&self, change: Change) -> Result<Self, Refusal> {
         let mut next = self.clone();
         match change {
             Change::AddLearner(id) if !self.contains(id) => next.0.insert(id, Role::Learner),
             Change::AddWitness(id) if !self.contains(id) => {
                 if self.with_role(Role::Witness).next().is_some() {
-                    return Err(Refusal::SecondWitness);
+                    return Err(Refusal::WitnessExists);
                 }
                 next.0.insert(id, Role::Witness)
             }
@@ -110,10 +110,10 @@
                 next.0.insert(id, Role::Voter)
             }
             Change::Remove(id) if self.contains(id) => next.0.remove(&id),
-            _ => return Err(Refusal::Unsuitable),
+            _ => return Err(Refusal::InvalidTarget),
         };
         if next.with_role(Role::Voter).next().is_none() {
-            return Err(Refusal::Unsuitable);
+            return Err(Refusal::InvalidTarget);
         }
         Ok(next)
     }
--- a/src/consensus/members/tests.rs
+++ b/src/consensus/members/tests.rs
@@ -1,5 +1,3 @@
-//! Changes to the members of a group.
-
 use yare::parameterized;
 
 use super::*;
@@ -13,20 +11,20 @@
 }
 
 #[parameterized(
-    a_member_again = { Change::AddLearner(id(1)), Refusal::Unsuitable },
-    a_second_witness = { Change::AddWitness(id(5)), Refusal::SecondWitness },
-    a_witness_to_lead = { Change::Promote(id(3)), Refusal::Unsuitable },
-    a_stranger = { Change::Promote(id(9)), Refusal::Unsuitable },
-    nobody = { Change::Remove(id(9)), Refusal::Unsuitable },
+    a_member_again = { Change::AddLearner(id(1)), Refusal::InvalidTarget },
+    a_second_witness = { Change::AddWitness(id(5)), Refusal::WitnessExists },
+    a_witness_to_lead = { Change::Promote(id(3)), Refusal::InvalidTarget },
+    a_stranger = { Change::Promote(id(9)), Refusal::InvalidTarget },
+    nobody = { Change::Remove(id(9)), Refusal::InvalidTarget },
 )]
 fn refuses(change: Change, refusal: Refusal) {
-    assert_eq!(group().changed(change), Err(refusal));
+    assert_eq!(group().with_change(change), Err(refusal));
 }
 
 #[test]
 fn the_last_data_voter_stays() {
     let one = Members::new([id(1)]).with_member(id(3), Role::Witness);
-    assert_eq!(one.changed(Change::Remove(id(1))), Err(Refusal::Unsuitable));
+    assert_eq!(one.with_change(Change::Remove(id(1))), Err(Refusal::InvalidTarget));
 }
 
 #[test]
--- a/src/consensus/message.rs
+++ b/src/consensus/message.rs
@@ -13,85 +13,85 @@
 /// A message from one replica to another.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Message {
-    /// The sender's term; of a pre-vote and its grant, the term that the election would have.
+    /// The sender's term, or for a pre-vote and its grant, the term of the prospective election.
     pub term: Term,
-    /// What it says.
+    /// The content.
     pub body: Body,
 }
 
 impl Message {
-    /// A message of a term.
+    /// Creates a message.
     pub const fn new(term: Term, body: Body) -> Self {
         Self { term, body }
     }
 }
 
-/// What a message says.
+/// The content of a message.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Body {
-    /// Asks whether an election could be won, and changes nothing.
+    /// Asks whether the sender could win an election, without changing any state.
     PreVote {
-        /// The end of the asker's log.
+        /// The position of the sender's last entry.
         last: Position,
     },
-    /// Answers a pre-vote.
+    /// Response to a pre-vote.
     PreVoteAnswer {
-        /// Whether the vote would be given.
+        /// Whether the vote would be granted.
         granted: bool,
     },
-    /// Asks for a vote.
+    /// Vote request.
     Vote {
-        /// The end of the candidate's log.
+        /// The position of the candidate's last entry.
         last: Position,
     },
-    /// Answers a request for a vote.
+    /// Response to a vote request.
     VoteAnswer {
-        /// Whether the vote is given.
+        /// Whether the vote is granted.
         granted: bool,
     },
-    /// The leader's entries; without entries, its heartbeat.
+    /// Entries to append, or a heartbeat if there are none.
     Append {
-        /// The entry before the first one.
+        /// The position of the entry before the first one.
         previous: Position,
-        /// The entries that follow it.
+        /// The entries to append.
         entries: Vec<Entry>,
-        /// How far the log is committed.
+        /// The leader's commit index.
         commit: Index,
-        /// The leader's round, given back in the answer.
+        /// The leader's heartbeat round, echoed in the response.
         round: Round,
     },
-    /// The follower holds the leader's log, durably, up to an index.
+    /// The follower has persisted the leader's log up to an index.
     Matched {
-        /// That index.
+        /// The last matching index.
         index: Index,
-        /// Whether the follower is a witness, whatever the leader takes it for.
+        /// Whether the follower is a witness, regardless of its role in the leader's member list.
         witness: bool,
-        /// The round of the message that this answers.
+        /// The round of the message being answered.
         round: Round,
     },
-    /// The follower lacks the entry before the first one, or disagrees on it.
+    /// The follower lacks the previous entry or has a conflicting one.
     Mismatched {
-        /// The last index at which the two logs may agree.
+        /// The last index at which the logs may match.
         hint: Index,
-        /// Whether the follower is a witness, whatever the leader takes it for.
+        /// Whether the follower is a witness, regardless of its role in the leader's member list.
         witness: bool,
-        /// The round of the message that this answers.
+        /// The round of the message being answered.
         round: Round,
     },
-    /// The leader no longer has the entries that the follower needs: take this snapshot instead.
+    /// Offers a snapshot, because the leader no longer has the entries that the follower needs.
     Snapshot {
-        /// What the snapshot holds; its data goes another way.
+        /// The snapshot's position and members; the data is transferred separately.
         snapshot: Snapshot,
-        /// The leader's round, given back in the answer.
+        /// The leader's heartbeat round, echoed in the response.
         round: Round,
     },
-    /// The follower hears the leader and is still fetching its snapshot.
+    /// The follower is still fetching the snapshot.
     Installing {
-        /// The round of the message that this answers.
+        /// The round of the message being answered.
         round: Round,
     },
-    /// An append or snapshot came from an earlier term: there is a later one.
+    /// Response to an append or snapshot of an earlier term.
     Stale,
-    /// The leader hands over: start an election at once.
+    /// Leadership transfer: requests that the recipient start an election at once.
     TimeoutNow,
 }
--- a/src/consensus/mod.rs
+++ b/src/consensus/mod.rs
@@ -1,8 +1,9 @@
-//! Agreement among replicas on one order of entries: a Raft-family protocol without input or output.
+//! Raft consensus as a deterministic state machine that performs no I/O.
 //!
-//! A [`Replica`] is stepped with an [`Input`] and the time, and returns [`Output`]s that its driver carries
-//! out in order. It opens no file or connection, and reads no clock. Nothing is acknowledged or counted
-//! before the write that it rests on was confirmed by [`Input::Persisted`].
+//! [`Replica::step`] takes an [`Input`] and the current time and returns [`Output`]s, which the
+//! driver carries out in order. A replica opens no file or connection and reads no clock. It
+//! acknowledges or counts an entry only after the driver has confirmed its write with
+//! [`Input::Persisted`].
 
 mod change;
 mod commit;
@@ -33,8 +34,8 @@
 pub use entry::Entry;
 pub use entry::Payload;
 pub use entry::Position;
-pub use errors::Broken;
 pub use errors::Refusal;
+pub use errors::RestoreError;
 pub use input::Input;
 pub use input::Token;
 pub use log::Log;
--- a/src/consensus/output.rs
+++ b/src/consensus/output.rs
@@ -1,4 +1,4 @@
-//! What a replica asks of its driver.
+//! Outputs of a replica.
 
 use super::Entry;
 use super::HardState;
@@ -13,89 +13,92 @@
 use crate::unit::Sequence;
 use crate::unit::Term;
 
-/// One write, in the order of its fields; answered by [`Input::Persisted`](super::Input::Persisted) once synced.
+/// A write, applied in the order of its fields. The driver confirms it with
+/// [`Input::Persisted`](super::Input::Persisted).
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Persist {
-    /// The number of this write.
+    /// The sequence number of the write.
     pub sequence: Sequence,
     /// The new term and vote.
     pub hard: Option<HardState>,
-    /// The whole log goes, and starts again after this snapshot.
+    /// Discard the log and restart it after this snapshot.
     pub reset: Option<Snapshot>,
-    /// All entries from this index on go.
+    /// Discard all entries from this index on.
     pub truncate: Option<Index>,
-    /// Entries to append, in order.
+    /// Entries to append.
     pub entries: Vec<Entry>,
 }
 
-/// One thing to do; a step's outputs are carried out in order.
+/// An action for the driver; the outputs of a step are carried out in order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
-    /// Write and sync. Outputs after it need not wait for it: what must is held back by the replica.
+    /// Write and sync. Later outputs need not wait for it: the replica delays those that depend on
+    /// it.
     Persist(Persist),
-    /// Send a message; it may be lost.
+    /// Send a message; delivery is not guaranteed.
     Send {
-        /// To whom.
+        /// The recipient.
         to: id::Replica,
         /// The message.
         message: Message,
     },
-    /// Apply committed entries to the state machine; each index comes once, in order.
+    /// Apply committed entries to the state machine. Each index is emitted once, in order.
     Apply(Vec<Entry>),
-    /// A proposal or change stands in the log. It is accepted once an entry with this very position is
-    /// applied; if another term's entry is applied at the index instead, it is lost for good.
+    /// A proposal or change was appended. It succeeds once the entry at this position is applied,
+    /// and has failed if an entry of another term is applied at its index.
     Appended {
         /// The driver's number for it.
         token: Token,
-        /// Where it stands.
+        /// The position of its entry.
         position: Position,
     },
-    /// A proposal, read or change is refused; nothing of it was or will be appended.
+    /// A proposal, read or change was refused; nothing of it was or will be appended.
     Rejected {
         /// The driver's number for it.
         token: Token,
-        /// Why.
+        /// The reason.
         refusal: Refusal,
     },
-    /// The state machine as applied by the outputs so far may answer the read.
+    /// The state machine, with all outputs so far applied, may serve the read.
     ReadReady {
         /// The driver's number for it.
         token: Token,
-        /// The index that the read needs at least.
+        /// The minimum applied index for the read.
         index: Index,
     },
-    /// Fetch the leader's snapshot, sync and load it, then say so.
+    /// Fetch, persist and load the leader's snapshot, then report it.
     InstallSnapshot {
-        /// Whom to fetch it from.
+        /// The replica to fetch it from.
         from: id::Replica,
-        /// What it stands for; a later one serves as well.
+        /// The snapshot offered; a later one may be installed instead.
         snapshot: Snapshot,
     },
-    /// The log has grown enough for a snapshot at this applied index.
+    /// A snapshot is due at this applied index.
     SnapshotDue {
         /// The index.
         index: Index,
     },
-    /// Entries up to this one are covered by the snapshot and no longer needed on disk.
+    /// Entries up to this index are covered by the snapshot and may be deleted from disk.
     Compact {
-        /// The last such entry.
+        /// The last of them.
         through: Index,
     },
-    /// This replica leads from now on.
+    /// This replica became leader.
     BecameLeader {
-        /// In this term.
+        /// The term it leads.
         term: Term,
     },
-    /// This replica no longer leads: what it appended and did not apply yet has an unknown outcome.
+    /// This replica is no longer leader; the outcome of entries it appended and has not applied is
+    /// unknown.
     SteppedDown {
-        /// The term that it learned of.
+        /// The current term.
         term: Term,
     },
-    /// The follower now hears this leader, or no longer hears any.
+    /// The known leader changed.
     LeaderChanged {
         /// The leader.
         leader: Option<id::Replica>,
     },
-    /// The members changed, as of the log and not committed yet.
+    /// The members changed; the change may not be committed yet.
     MembersChanged(Members),
 }
--- a/src/consensus/peer.rs
+++ b/src/consensus/peer.rs
@@ -1,4 +1,4 @@
-//! What a leader knows of another member, for dumps and for those who decide on members.
+//! The leader's view of another member, for status dumps and membership decisions.
 
 use std::time::Duration;
 
@@ -8,17 +8,18 @@
 use crate::id;
 use crate::unit::Index;
 
-/// Another member as the leader sees it.
+/// A member as seen by the leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Peer {
     /// Its identity.
     pub id: id::Replica,
     /// Its role.
     pub role: Role,
-    /// The last entry that it is known to hold, synced.
+    /// The last index it is known to have persisted.
     pub matched: Index,
-    /// Whether the leader counts on it: it answers, and holds nearly all.
-    pub in_touch: bool,
-    /// How long nothing was heard from it, in this leader's term.
+    /// Whether it responds and its log is nearly up to date.
+    #[serde(rename = "in_touch")]
+    pub responsive: bool,
+    /// Time since its last response in this leader's term.
     pub silence: Duration,
 }
--- a/src/consensus/progress.rs
+++ b/src/consensus/progress.rs
@@ -1,4 +1,4 @@
-//! What a leader knows of one other member, and how much it may send to it.
+//! Replication progress and flow control for one member.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,82 +9,83 @@
 use crate::unit::Index;
 use crate::unit::Round;
 
-/// How entries are sent to a member.
+/// Replication mode of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Mode {
-    /// One message at a time, until the logs are found to agree.
+    /// One message at a time, until a matching index is found.
     Probe {
-        /// Whether it is sent and not answered; repeated with each heartbeat.
+        /// Whether a probe is outstanding; repeated at each heartbeat.
         sent: bool,
     },
-    /// As many as may be in flight.
+    /// Pipelined, up to the in-flight limits.
     Stream,
-    /// It needs entries that are no longer kept, and was offered a snapshot.
+    /// Needs entries that were compacted; a snapshot was offered.
     Snapshot,
 }
 
-/// The leader's view of one other member.
+/// Replication state of one member.
 #[derive(Debug, Clone)]
 pub(super) struct Progress {
-    /// The last index at which its synced log is known to agree.
+    /// The last index up to which its persisted log is known to match.
     pub(super) matched: Index,
-    /// The next entry to send.
+    /// The next index to send.
     pub(super) next: Index,
     pub(super) mode: Mode,
-    /// Heard since the last quorum check.
-    pub(super) heard: bool,
-    /// Missed its heartbeats and has not caught up since.
-    pub(super) missed: bool,
-    /// Whether it holds data, by its own word; unknown until it answers.
+    /// Whether it responded since the last quorum check.
+    pub(super) recently_active: bool,
+    /// Whether it missed its heartbeats and has not caught up since.
+    pub(super) unresponsive: bool,
+    /// Whether it reported that it holds data; `None` until it responds.
     pub(super) holds_data: Option<bool>,
-    /// The last round that it answered.
+    /// The last heartbeat round it answered.
     pub(super) round: Round,
-    /// Messages with entries in flight: the last index and the size of each.
+    /// Messages with entries in flight, each with its last index and size.
     in_flight: VecDeque<(Index, usize)>,
     in_flight_bytes: usize,
-    heard_at: Instant,
-    advanced_at: Instant,
+    last_response: Instant,
+    last_advance: Instant,
 }
 
 impl Progress {
-    /// A member that nothing was heard of in this term. It counts as in touch until it misses heartbeats.
+    /// A member that has not responded in this term. It counts as responsive until it misses
+    /// heartbeats.
     pub(super) const fn new(last: Index, now: Instant) -> Self {
         Self {
             matched: Index::ZERO,
             next: last.next(),
             mode: Mode::Probe { sent: false },
-            heard: true,
-            missed: false,
+            recently_active: true,
+            unresponsive: false,
             holds_data: None,
             round: Round::ZERO,
             in_flight: VecDeque::new(),
             in_flight_bytes: 0,
-            heard_at: now,
-            advanced_at: now,
+            last_response: now,
+            last_advance: now,
         }
     }
 
-    /// An answer came.
-    pub(super) fn hear(&mut self, round: Round, now: Instant) {
-        self.heard = true;
-        self.heard_at = now;
+    /// Records a response.
+    pub(super) fn record_response(&mut self, round: Round, now: Instant) {
+        self.recently_active = true;
+        self.last_response = now;
         self.round = self.round.max(round);
     }
 
-    /// What looks like silence may be the leader's own.
-    pub(super) const fn excuse(&mut self, now: Instant) {
-        self.heard_at = now;
-        self.advanced_at = now;
+    /// Restarts the timeouts after the leader itself was suspended.
+    pub(super) const fn reset_timestamps(&mut self, now: Instant) {
+        self.last_response = now;
+        self.last_advance = now;
     }
 
-    /// Its log agrees up to an index, of the leader's whose last index is given.
+    /// Records that its log matches up to `index`; `last` is the leader's last index.
     pub(super) fn advance(&mut self, index: Index, last: Index, now: Instant) {
         while let Some(&(_, bytes)) = self.in_flight.front().filter(|(last, _)| *last <= index) {
             self.in_flight_bytes -= bytes;
             self.in_flight.pop_front();
         }
         if index > self.matched || index == last {
-            self.advanced_at = now;
+            self.last_advance = now;
         }
         self.matched = self.matched.max(index);
         self.next = self.next.max(index.next());
@@ -94,36 +95,36 @@
         }
     }
 
-    /// Its log may agree up to an index at most: entries in flight are lost.
-    pub(super) fn back_up(&mut self, hint: Index) {
-        self.forget_in_flight();
+    /// Records a mismatch: its log matches up to `hint` at most, and entries in flight are lost.
+    pub(super) fn decrease_next(&mut self, hint: Index) {
+        self.clear_in_flight();
         self.mode = Mode::Probe { sent: false };
         self.next = self.next.min(hint.next()).max(self.matched.next());
     }
 
-    /// The last probe was lost, or its answer was.
-    pub(super) const fn probe_again(&mut self) {
+    /// Allows another probe, in case the last one or its response was lost.
+    pub(super) const fn resume_probe(&mut self) {
         if let Mode::Probe { sent } = &mut self.mode {
             *sent = false;
         }
     }
 
-    /// It needs a snapshot.
-    pub(super) fn need_snapshot(&mut self) {
-        self.forget_in_flight();
+    /// Switches to sending a snapshot.
+    pub(super) fn enter_snapshot_mode(&mut self) {
+        self.clear_in_flight();
         self.mode = Mode::Snapshot;
     }
 
-    fn forget_in_flight(&mut self) {
+    fn clear_in_flight(&mut self) {
         self.in_flight.clear();
         self.in_flight_bytes = 0;
     }
 
-    /// Whether another message with entries may leave.
+    /// Whether another message with entries may be sent.
     ///
-    /// Without the bound, a member that returns after an hour gets the whole backlog at once: the link
-    /// is full, heartbeats wait behind it, and the leader is taken for dead.
-    pub(super) fn has_room(&self, config: &Config) -> bool {
+    /// Without a limit, a member that returns after a long absence would receive its whole backlog
+    /// at once; heartbeats would queue behind it and the leader would be presumed failed.
+    pub(super) fn can_send(&self, config: &Config) -> bool {
         match self.mode {
             Mode::Probe { sent } => !sent,
             Mode::Stream => {
@@ -134,8 +135,8 @@
         }
     }
 
-    /// Entries up to an index leave.
-    pub(super) fn sent(&mut self, last: Index, bytes: usize) {
+    /// Records that entries up to an index were sent.
+    pub(super) fn record_sent(&mut self, last: Index, bytes: usize) {
         match &mut self.mode {
             Mode::Probe { sent } => *sent = true,
             Mode::Stream => {
@@ -147,24 +148,24 @@
         }
     }
 
-    /// Whether it missed its heartbeats, or answers them but takes in nothing of what it lacks.
-    pub(super) fn is_overdue(
+    /// Whether it missed its heartbeats, or answers them without making progress.
+    pub(super) fn has_timed_out(
         &self,
         last: Index,
-        heartbeats: Duration,
-        headway: Duration,
+        response_timeout: Duration,
+        advance_timeout: Duration,
         now: Instant,
     ) -> bool {
-        let stuck = self.matched < last && self.advanced_at + headway <= now;
-        !self.missed && (stuck || self.heard_at + heartbeats <= now)
+        let stuck = self.matched < last && self.last_advance + advance_timeout <= now;
+        !self.unresponsive && (stuck || self.last_response + response_timeout <= now)
     }
 
-    /// How long nothing was heard.
+    /// Time since its last response.
     pub(super) fn silence(&self, now: Instant) -> Duration {
-        now.saturating_duration_since(self.heard_at)
+        now.saturating_duration_since(self.last_response)
     }
 
-    /// What decides on what it is sent next, for checks that compare states.
+    /// Hashes the state that determines what is sent next, for model checking.
     #[cfg(feature = "faults")]
     pub(super) fn digest(&self, hasher: &mut impl std::hash::Hasher) {
         use std::hash::Hash;
@@ -173,7 +174,7 @@
             self.matched,
             self.next,
             self.mode,
-            self.missed,
+            self.unresponsive,
             self.holds_data,
             self.round,
             &self.in_flight,
--- a/src/consensus/read.rs
+++ b/src/consensus/read.rs
@@ -1,4 +1,4 @@
-//! Reads: answered by a leader that a majority confirmed after the read came in.
+//! Linearizable reads, confirmed by a round of heartbeats.
 
 use super::Output;
 use super::Refusal;
@@ -9,7 +9,7 @@
 use crate::unit::Index;
 use crate::unit::Round;
 
-/// A read that waits for its round, and for its index to be applied.
+/// A read waiting for its heartbeat round and for its index to be applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct Read {
     pub(super) token: Token,
@@ -18,20 +18,20 @@
 }
 
 impl Replica {
-    /// Notes a read, and has it confirmed by the next round of heartbeats.
+    /// Queues a read until the next heartbeat round confirms the leadership.
     ///
-    /// A leader that was cut off doesn't know yet that there is another one. If it answered at once, the
-    /// caller could see a change accepted and then an answer from before it.
+    /// A partitioned leader may be unaware of its successor. Answering at once could return a state
+    /// older than a change already acknowledged to the caller.
     pub(super) fn read(&mut self, token: Token) {
         let commit = self.commit;
         let State::Leader(leader) = &mut self.state else {
             return self.reject(token, Refusal::NotLeader { leader: self.leader() });
         };
-        // Before an entry of the own term is committed, a leader doesn't know all that is.
-        let index = commit.max(leader.start);
+        // Until an entry of its term is committed, a leader may not know the latest commit index.
+        let index = commit.max(leader.term_start);
         let idle = leader.round == leader.confirmed;
         leader.reads.push(Read { token, index, round: leader.round.next() });
-        // Reads that come in while a round is on share the next one.
+        // Reads received during a round are confirmed by the next one.
         if idle {
             self.begin_round();
             self.send_round();
@@ -51,8 +51,10 @@
         }
     }
 
-    /// A round is confirmed once a majority has answered it: none of these had entered a later term by then,
-    /// so no later leader could have committed anything before the round began.
+    /// Confirms the round that a majority has answered.
+    ///
+    /// None of that majority had entered a later term when it answered, so no later leader had
+    /// committed anything before the round began.
     pub(super) fn confirm_round(&mut self) {
         let own = self.id();
         let unconfirmed = self.has_fault(Fault::UnconfirmedRead);
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Gives out the reads that are confirmed and whose index is applied.
+    /// Emits the reads that are confirmed and whose index is applied.
     pub(super) fn finish_reads(&mut self) {
         let applied = self.applied;
         let State::Leader(leader) = &mut self.state else {
--- a/src/consensus/replica.rs
+++ b/src/consensus/replica.rs
@@ -1,4 +1,4 @@
-//! One member of a group: its state, its steps and what each step asks for.
+//! A replica: its state and the handling of inputs.
 
 use std::collections::BTreeSet;
 use std::collections::VecDeque;
@@ -27,7 +27,7 @@
 use crate::unit::Sequence;
 use crate::unit::Term;
 
-/// What a replica is doing in its term.
+/// The protocol role in the current term.
 #[derive(Debug, Clone)]
 pub(super) enum State {
     Follower { leader: Option<id::Replica> },
@@ -36,15 +36,15 @@
     Leader(Box<Leader>),
 }
 
-/// A message that waits until a write is synced.
+/// A message that waits for a write to be persisted.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub(super) struct Held {
-    pub(super) until: Sequence,
+pub(super) struct PendingSend {
+    pub(super) after: Sequence,
     pub(super) to: id::Replica,
     pub(super) message: Message,
 }
 
-/// A replica of the log. Pure: see the [module](super).
+/// A replica of the log; a deterministic state machine, see the [module](super).
 #[derive(Debug, Clone)]
 pub struct Replica {
     pub(super) config: Config,
@@ -54,25 +54,26 @@
     pub(super) commit: Index,
     pub(super) applied: Index,
     pub(super) state: State,
-    /// Whether a leader was heard of within the shortest election timeout.
+    /// Whether the leader was active within the minimum election timeout.
     pub(super) leader_recent: bool,
     pub(super) installing: bool,
     pub(super) snapshot_due: bool,
     pub(super) timers: Timers,
-    /// The members that the driver was last told of.
-    pub(super) announced: Members,
-    pub(super) held: VecDeque<Held>,
+    /// The members last reported to the driver.
+    pub(super) reported_members: Members,
+    pub(super) pending_sends: VecDeque<PendingSend>,
     pub(super) outputs: Vec<Output>,
 }
 
 impl Replica {
-    /// A replica that starts from its durable state.
+    /// Creates a replica from its persisted state.
     pub fn new(config: Config, restored: Restored, mut rng: SmallRng, now: Instant) -> Self {
         let timers = Timers::new(&config, &mut rng, now);
         let log = Log::new(restored.snapshot, restored.log);
-        let announced = log.members().clone();
+        let reported_members = log.members().clone();
         let commit = log.snapshot().position.index;
-        // A snapshot may come from a term that this replica had not entered on disk yet; it never voted in it.
+        // A snapshot may be of a later term than the persisted one, in which this replica has not
+        // voted.
         let term = log.last().term;
         let hard =
             if restored.hard.term < term { HardState { term, vote: None } } else { restored.hard };
@@ -88,31 +89,31 @@
             installing: false,
             snapshot_due: false,
             timers,
-            announced,
-            held: VecDeque::new(),
+            reported_members,
+            pending_sends: VecDeque::new(),
             outputs: Vec::new(),
         }
     }
 
-    /// Takes one input at a time and returns what is to be done, in order.
+    /// Handles one input and returns the resulting actions in order.
     pub fn step(&mut self, input: Input, now: Instant) -> Vec<Output> {
-        self.age_leader(now);
+        self.expire_leader(now);
         match input {
             Input::Tick => self.tick(now),
             Input::Receive { from, message } => self.receive(from, message, now),
             Input::Propose { data, token } => self.propose(Payload::Data(data), token),
             Input::Read { token } => self.read(token),
-            Input::Change { change, token } => self.change(change, token, now),
-            Input::Persisted { sequence } => self.persisted(sequence),
+            Input::Change { change, token } => self.propose_change(change, token, now),
+            Input::Persisted { sequence } => self.handle_persisted(sequence),
             Input::SnapshotTaken { index } => self.compact(index),
             Input::SnapshotInstalled { snapshot } => self.install(snapshot),
             Input::SnapshotFailed => (self.installing, self.snapshot_due) = (false, false),
             Input::Transfer { to } => self.transfer(to, now),
         }
-        self.finish(now)
+        self.finish_step(now)
     }
 
-    /// The identity.
+    /// The replica's identity.
     pub const fn id(&self) -> id::Replica {
         self.config.id
     }
@@ -122,7 +123,7 @@
         self.hard.term
     }
 
-    /// The leader that this replica knows of, itself included.
+    /// The known leader, which may be this replica.
     pub const fn leader(&self) -> Option<id::Replica> {
         match &self.state {
             State::Leader(_) => Some(self.config.id),
@@ -131,17 +132,17 @@
         }
     }
 
-    /// Whether this replica leads, as far as it knows.
+    /// Whether this replica is leader, to its knowledge.
     pub const fn is_leader(&self) -> bool {
         matches!(self.state, State::Leader(_))
     }
 
-    /// The last index known to be committed.
+    /// The commit index.
     pub const fn commit(&self) -> Index {
         self.commit
     }
 
-    /// The last index given out to be applied.
+    /// The last index emitted for application.
     pub const fn applied(&self) -> Index {
         self.applied
     }
@@ -151,17 +152,17 @@
         &self.log
     }
 
-    /// When the next [`Input::Tick`] is due.
+    /// The time at which the next [`Input::Tick`] is due.
     pub fn deadline(&self) -> Instant {
         self.timers.deadline(self.is_leader())
     }
 
-    /// This replica's role, as of the end of its log.
+    /// This replica's role in the latest member list, committed or not.
     pub fn role(&self) -> Option<Role> {
         self.log.members().role(self.config.id)
     }
 
-    /// Whether a fault is planted; never outside tests.
+    /// Whether a fault is injected; always false outside tests.
     pub(super) fn has_fault(&self, fault: Fault) -> bool {
         self.config.fault == Some(fault)
     }
@@ -174,18 +175,18 @@
         self.emit(Output::Rejected { token, refusal });
     }
 
-    /// Sends at once: only what rests on nothing that is still to be synced.
+    /// Sends a message immediately; only for messages that do not depend on pending writes.
     pub(super) fn send(&mut self, to: id::Replica, message: Message) {
         self.emit(Output::Send { to, message });
     }
 
-    /// Sends once all that changed up to the end of this step is synced.
+    /// Sends a message once all changes up to the end of this step are persisted.
     ///
-    /// A vote or acknowledgement that leaves before its write can be forgotten in a crash: a second
-    /// vote in the same term then makes two leaders, and a committed entry is on too few replicas.
+    /// A crash could otherwise lose a vote or acknowledgement that was already sent, and so lead to
+    /// two leaders in one term or to a committed entry on too few replicas.
     pub(super) fn send_synced(&mut self, to: id::Replica, body: Body) {
         let message = Message::new(self.hard.term, body);
-        self.held.push_back(Held { until: Sequence::new(u64::MAX), to, message });
+        self.pending_sends.push_back(PendingSend { after: Sequence::new(u64::MAX), to, message });
     }
 }
 
--- a/src/consensus/replica/tests.rs
+++ b/src/consensus/replica/tests.rs
@@ -1,4 +1,4 @@
-//! What callers and operators see of a small group, step by step.
+//! Scenarios with a small group.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,19 +15,19 @@
 use crate::consensus::Snapshot;
 use crate::unit::Round;
 
-const HEARTBEAT: Duration = Duration::from_millis(100);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
 fn id(number: u128) -> id::Replica {
     id::Replica::new(number)
 }
 
-/// Replicas whose messages arrive at once, and whose writes are synced at once.
+/// A group whose messages and writes complete immediately.
 struct Group {
     replicas: Vec<Replica>,
-    /// Identities that nothing reaches, and that reach nothing.
-    cut: BTreeSet<id::Replica>,
+    /// Replicas isolated from all others.
+    partitioned: BTreeSet<id::Replica>,
     now: Instant,
-    seen: Vec<(id::Replica, Output)>,
+    outputs: Vec<(id::Replica, Output)>,
 }
 
 impl Group {
@@ -39,18 +39,18 @@
             Replica::new(config, Restored::new(members.clone()), SmallRng::seed_from_u64(1), now)
         };
         let replicas = members.iter().map(replica).collect();
-        Self { replicas, cut: BTreeSet::new(), now, seen: Vec::new() }
+        Self { replicas, partitioned: BTreeSet::new(), now, outputs: Vec::new() }
     }
 
-    /// The first replica leads.
-    fn led(members: &Members, configure: impl Fn(Config) -> Config) -> Self {
+    /// A group led by the first replica.
+    fn with_leader(members: &Members, configure: impl Fn(Config) -> Config) -> Self {
         let mut group = Self::new(members, configure);
         let term = group.replicas[0].term();
         group.input(
             1,
             Input::Receive { from: id(1), message: Message::new(term, Body::TimeoutNow) },
         );
-        group.pass(HEARTBEAT * 2);
+        group.advance(HEARTBEAT_INTERVAL * 2);
         assert!(group.replica(1).is_leader());
         group
     }
@@ -72,14 +72,14 @@
                         inputs.push((to, Input::Persisted { sequence: write.sequence }));
                     }
                     Output::Send { to: other, message }
-                        if !self.cut.contains(&to) && !self.cut.contains(other) =>
+                        if !self.partitioned.contains(&to) && !self.partitioned.contains(other) =>
                     {
                         inputs
                             .push((*other, Input::Receive { from: to, message: message.clone() }));
                     }
                     _ => {}
                 }
-                self.seen.push((to, output));
+                self.outputs.push((to, output));
             }
         }
     }
@@ -91,11 +91,11 @@
         );
     }
 
-    /// Lets time pass, a tenth of a heartbeat at a time.
-    fn pass(&mut self, span: Duration) {
+    /// Advances time in steps of a tenth of a heartbeat.
+    fn advance(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
-            self.now += HEARTBEAT / 10;
+            self.now += HEARTBEAT_INTERVAL / 10;
             let due: Vec<u128> = self
                 .replicas
                 .iter()
@@ -106,55 +106,62 @@
         }
     }
 
-    fn saw(&self, number: u128, what: impl Fn(&Output) -> bool) -> bool {
-        self.seen.iter().any(|(at, output)| *at == id(number) && what(output))
+    fn emitted(&self, number: u128, what: impl Fn(&Output) -> bool) -> bool {
+        self.outputs.iter().any(|(at, output)| *at == id(number) && what(output))
     }
 
     fn leader(&self) -> u128 {
-        let leads = |replica: &&Replica| replica.is_leader() && !self.cut.contains(&replica.id());
+        let leads =
+            |replica: &&Replica| replica.is_leader() && !self.partitioned.contains(&replica.id());
         self.replicas.iter().find(leads).expect("a leader").id().get()
     }
 }
 
-fn three() -> Members {
+fn three_voters() -> Members {
     Members::new([id(1), id(2), id(3)])
 }
 
-/// Callers of a control VM that is cut off wait for answers that never come. Its replica leads when the cut begins: it
-/// must neither accept nor answer as current, and must say so once it has heard no majority for a while.
+/// Guards against callers waiting on an isolated leader: it must not commit or answer reads, and
+/// must step down and reject them.
 #[test]
 fn a_leader_that_is_cut_off_answers_nothing_and_steps_down() {
-    let mut group = Group::led(&three(), |config| config);
-    group.cut.insert(id(1));
+    let mut group = Group::with_leader(&three_voters(), |config| config);
+    group.partitioned.insert(id(1));
     let commit = group.replica(1).commit();
     group.propose(1, 1);
     group.input(1, Input::Read { token: Token::new(2) });
-    group.pass(Duration::from_secs(4));
+    group.advance(Duration::from_secs(4));
     assert!(!group.replica(1).is_leader() && group.replica(1).commit() == commit);
-    assert!(!group.saw(1, |output| matches!(output, Output::ReadReady { .. })));
+    assert!(!group.emitted(1, |output| matches!(output, Output::ReadReady { .. })));
     let refusal = Refusal::NotLeader { leader: None };
-    assert!(group.saw(1, |output| *output == Output::Rejected { token: Token::new(2), refusal }));
+    assert!(
+        group.emitted(1, |output| *output == Output::Rejected { token: Token::new(2), refusal })
+    );
     assert_ne!(group.leader(), 1);
 }
 
-/// A control VM comes back after a long cut, and every change is refused for a second. Without pre-votes it would have
-/// raised its term all the while, and unseated a leader that works well.
+/// Guards against a partitioned follower that raises its term and deposes a working leader when it
+/// returns.
 #[test]
 fn a_follower_that_was_cut_off_unseats_nobody() {
-    let mut group = Group::led(&three(), |config| config);
+    let mut group = Group::with_leader(&three_voters(), |config| config);
     let term = group.replica(1).term();
-    group.cut.insert(id(3));
-    group.pass(Duration::from_secs(60));
-    group.cut.clear();
-    group.pass(Duration::from_secs(5));
+    group.partitioned.insert(id(3));
+    group.advance(Duration::from_secs(60));
+    group.partitioned.clear();
+    group.advance(Duration::from_secs(5));
     assert_eq!((group.leader(), group.replica(3).term()), (1, term));
 }
 
 #[test]
 fn nothing_is_acknowledged_before_its_write_is_synced() {
     let now = Instant::now();
-    let mut follower =
-        Replica::new(Config::new(id(2)), Restored::new(three()), SmallRng::seed_from_u64(1), now);
+    let mut follower = Replica::new(
+        Config::new(id(2)),
+        Restored::new(three_voters()),
+        SmallRng::seed_from_u64(1),
+        now,
+    );
     let entry = Entry::new(Position::new(Index::new(1), Term::new(1)), Payload::Empty);
     let body = Body::Append {
         previous: Position::default(),
@@ -170,19 +177,19 @@
     assert_eq!(outputs.iter().filter(|output| early(output)).count(), 2);
 }
 
-/// A VM that returns after an hour gets the whole backlog at once: heartbeats wait behind it, and the leader is taken for
-/// dead. What is in flight to one replica is bounded instead.
+/// Guards against sending a returning replica its whole backlog at once, which would delay
+/// heartbeats.
 #[test]
 fn entries_in_flight_are_bounded() {
     let configure = |mut config: Config| {
         (config.in_flight_appends, config.append_bytes) = (4, 200);
         config
     };
-    let mut group = Group::led(&three(), configure);
-    group.cut.insert(id(3));
+    let mut group = Group::with_leader(&three_voters(), configure);
+    group.partitioned.insert(id(3));
     (0..100).for_each(|token| group.propose(1, token));
     let sent = |group: &Group| {
-        let entries = group.seen.iter().filter_map(|(_, output)| match output {
+        let entries = group.outputs.iter().filter_map(|(_, output)| match output {
             Output::Send { to, message: Message { body: Body::Append { entries, .. }, .. } }
                 if *to == id(3) =>
             {
@@ -193,102 +200,108 @@
         entries.sum::<usize>()
     };
     assert!(sent(&group) <= 8, "{} entries sent to a replica that answers nothing", sent(&group));
-    group.cut.clear();
-    group.pass(HEARTBEAT * 5);
+    group.partitioned.clear();
+    group.advance(HEARTBEAT_INTERVAL * 5);
     assert_eq!(group.replica(3).log().last(), group.replica(1).log().last());
 }
 
 #[test]
 fn a_full_log_refuses_at_once() {
-    let mut group = Group::led(&three(), |mut config| {
+    let mut group = Group::with_leader(&three_voters(), |mut config| {
         config.log_bytes = 500;
         config
     });
-    group.cut.extend([id(2), id(3)]);
+    group.partitioned.extend([id(2), id(3)]);
     (0..20).for_each(|token| group.propose(1, token));
     assert!(
-        group.saw(1, |output| matches!(output, Output::Rejected { refusal: Refusal::Full, .. }))
+        group.emitted(1, |output| matches!(
+            output,
+            Output::Rejected { refusal: Refusal::LogFull, .. }
+        ))
     );
     assert!(group.replica(1).log().bytes() < 600);
 }
 
-/// A control VM stops for an update, and callers wait a second for an election. It hands over instead.
+/// Guards against waiting for an election timeout when the leader stops gracefully.
 #[test]
 fn a_leader_hands_over_without_an_election_timeout() {
-    let mut group = Group::led(&three(), |config| config);
+    let mut group = Group::with_leader(&three_voters(), |config| config);
     group.propose(1, 1);
     group.input(1, Input::Transfer { to: None });
     assert_ne!(group.leader(), 1);
     assert_eq!(group.replicas.iter().filter(|replica| replica.is_leader()).count(), 1);
 }
 
-/// A control VM is lost at night, and with the next one the group stops. A learner takes its place in time.
+/// Guards against a group that stays degraded after losing a voter and stops with the next loss.
 #[test]
 fn a_dead_voter_is_replaced_by_a_learner() {
-    let members = three().with_member(id(4), Role::Learner);
+    let members = three_voters().with_member(id(4), Role::Learner);
     let mut group =
-        Group::led(&members, |config| config.with_replacement(Duration::from_secs(10), 3));
-    group.cut.insert(id(2));
-    group.pass(Duration::from_secs(9));
+        Group::with_leader(&members, |config| config.with_replacement(Duration::from_secs(10), 3));
+    group.partitioned.insert(id(2));
+    group.advance(Duration::from_secs(9));
     assert!(group.replica(1).log().members().contains(id(2)));
-    group.pass(Duration::from_secs(3));
+    group.advance(Duration::from_secs(3));
     assert_eq!(*group.replica(1).log().members(), Members::new([id(1), id(3), id(4)]));
-    group.cut.insert(id(3));
+    group.partitioned.insert(id(3));
     group.propose(1, 1);
     assert_eq!(group.replica(1).commit(), group.replica(1).log().last().index);
 }
 
-/// A group is started as one voter, and its first loss ends it unless it has grown by then, with no operator.
+/// Guards against a group bootstrapped with one voter that never becomes redundant without an
+/// operator.
 #[test]
 fn one_voter_grows_to_three() {
     let members =
         Members::new([id(1)]).with_member(id(2), Role::Learner).with_member(id(3), Role::Learner);
     let mut group =
-        Group::led(&members, |config| config.with_replacement(Duration::from_secs(10), 3));
-    group.pass(HEARTBEAT * 5);
-    assert_eq!(*group.replica(1).log().members(), three());
+        Group::with_leader(&members, |config| config.with_replacement(Duration::from_secs(10), 3));
+    group.advance(HEARTBEAT_INTERVAL * 5);
+    assert_eq!(*group.replica(1).log().members(), three_voters());
 }
 
-/// A VM without a disk restarts every night, each time with a new identity, and the list of members grows for good.
+/// Guards against a member list that grows with each restart of a VM without a disk, which gets a
+/// new identity each time.
 #[test]
 fn learners_that_fell_silent_are_let_go() {
-    let members = three().with_member(id(4), Role::Learner).with_member(id(5), Role::Learner);
+    let members =
+        three_voters().with_member(id(4), Role::Learner).with_member(id(5), Role::Learner);
     let mut group =
-        Group::led(&members, |config| config.with_replacement(Duration::from_secs(10), 3));
-    group.cut.insert(id(4));
-    group.pass(Duration::from_secs(12));
-    assert_eq!(*group.replica(1).log().members(), three().with_member(id(5), Role::Learner));
+        Group::with_leader(&members, |config| config.with_replacement(Duration::from_secs(10), 3));
+    group.partitioned.insert(id(4));
+    group.advance(Duration::from_secs(12));
+    assert_eq!(*group.replica(1).log().members(), three_voters().with_member(id(5), Role::Learner));
     let peers = group.replica(1).peers(group.now);
-    assert!(peers.iter().all(|peer| peer.in_touch && peer.silence <= HEARTBEAT));
+    assert!(peers.iter().all(|peer| peer.responsive && peer.silence <= HEARTBEAT_INTERVAL));
 }
 
-/// All VMs are suspended for a minute, and a control VM that is well is let go when they wake. The leader had heard
-/// nobody for that minute, and a learner answered sooner than a voter.
+/// Guards against replacing a healthy voter after the leader itself was suspended.
 #[test]
 fn a_leader_that_stood_still_replaces_nobody() {
-    let members = three().with_member(id(4), Role::Learner);
+    let members = three_voters().with_member(id(4), Role::Learner);
     let mut group =
-        Group::led(&members, |config| config.with_replacement(Duration::from_secs(10), 3));
+        Group::with_leader(&members, |config| config.with_replacement(Duration::from_secs(10), 3));
     group.now += Duration::from_secs(60);
-    group.cut.insert(id(2));
+    group.partitioned.insert(id(2));
     group.input(1, Input::Tick);
-    group.pass(HEARTBEAT * 3);
-    group.cut.clear();
-    group.pass(Duration::from_secs(5));
+    group.advance(HEARTBEAT_INTERVAL * 3);
+    group.partitioned.clear();
+    group.advance(Duration::from_secs(5));
     assert!(group.replicas.iter().all(|replica| *replica.log().members() == members));
 }
 
-/// A region with two VMs loses its leader's VM, and stops: the witness had counted for an entry that the other VM lacked,
-/// and refuses it its vote. So it hears of an entry only once the other VM holds it, or has missed its heartbeats.
+/// Guards against a witness that knows of an entry the remaining data voter lacks, and so refuses
+/// to elect it. The witness gets an entry once the other data voter has it or has missed its
+/// heartbeats.
 #[test]
 fn the_witness_counts_once_the_other_data_voter_missed_its_heartbeats() {
     let members = Members::new([id(1), id(2)]).with_member(id(3), Role::Witness);
-    let mut group = Group::led(&members, |config| config);
+    let mut group = Group::with_leader(&members, |config| config);
     let commit = group.replica(1).commit();
-    group.cut.insert(id(2));
+    group.partitioned.insert(id(2));
     group.propose(1, 1);
     assert_eq!((group.replica(1).commit(), group.replica(3).log().last().index), (commit, commit));
-    group.pass(HEARTBEAT * 7);
+    group.advance(HEARTBEAT_INTERVAL * 7);
     assert_eq!(
         (group.replica(1).commit(), group.replica(3).log().last().index),
         (commit.next(), commit.next())
@@ -300,11 +313,11 @@
 #[test]
 fn a_lost_leader_beside_a_witness_is_followed_by_the_other_data_voter() {
     let members = Members::new([id(1), id(2)]).with_member(id(3), Role::Witness);
-    let mut group = Group::led(&members, |config| config);
+    let mut group = Group::with_leader(&members, |config| config);
     (0..10).for_each(|token| group.propose(1, token));
     let commit = group.replica(1).commit();
-    group.cut.insert(id(1));
-    group.pass(Duration::from_secs(5));
+    group.partitioned.insert(id(1));
+    group.advance(Duration::from_secs(5));
     assert_eq!(group.leader(), 2);
     group.propose(2, 11);
     assert!(group.replica(2).commit() > commit);
@@ -312,15 +325,15 @@
 
 #[test]
 fn a_change_waits_for_the_last_one() {
-    let mut group = Group::led(&three(), |config| config);
-    group.cut.extend([id(2), id(3)]);
+    let mut group = Group::with_leader(&three_voters(), |config| config);
+    group.partitioned.extend([id(2), id(3)]);
     for learner in [4, 5] {
         group.input(
             1,
             Input::Change { change: Change::AddLearner(id(learner)), token: Token::new(1) },
         );
     }
-    assert!(group.saw(1, |output| matches!(
+    assert!(group.emitted(1, |output| matches!(
         output,
         Output::Rejected { refusal: Refusal::ChangePending, .. }
     )));
@@ -330,7 +343,7 @@
 fn messages_survive_their_encoding_and_data_costs_no_more_than_its_bytes() {
     let data = Bytes::from(vec![255; 1000]);
     let entry = Entry::new(Position::new(Index::new(7), Term::new(3)), Payload::Data(data));
-    let snapshot = Snapshot { position: entry.position, members: three() };
+    let snapshot = Snapshot { position: entry.position, members: three_voters() };
     let append = Body::Append {
         previous: Position::default(),
         entries: vec![entry],
--- a/src/consensus/restored.rs
+++ b/src/consensus/restored.rs
@@ -1,90 +1,92 @@
-//! What a replica keeps over restarts.
+//! Persisted state of a replica.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::Broken;
 use super::Entry;
 use super::Members;
 use super::Position;
+use super::RestoreError;
 use crate::id;
 use crate::unit::Term;
 
-/// The term and the vote. Both must be durable before any message rests on them.
+/// The term and vote. Both must be persisted before any message that depends on them is sent.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct HardState {
-    /// The highest term that this replica knows of.
+    /// The latest known term.
     pub term: Term,
-    /// Whom it voted for in that term.
+    /// The replica voted for in that term.
     pub vote: Option<id::Replica>,
 }
 
-/// What a snapshot stands for: the state machine after all entries up to a position.
+/// The position and members of a snapshot of the state machine.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The last entry that it covers.
+    /// The last entry covered.
     pub position: Position,
-    /// The members as of that entry.
+    /// The members at that entry.
     pub members: Members,
 }
 
-/// The durable state that a replica starts from. The default is that of a newcomer, which waits for a leader.
+/// The persisted state from which a replica starts. The default is that of a new replica, which
+/// waits for a leader.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Restored {
-    /// The term and the vote.
+    /// The term and vote.
     pub hard: HardState,
     /// The last snapshot.
     pub snapshot: Snapshot,
-    /// The entries on disk; some of them may be covered by the snapshot.
+    /// The persisted entries, some of which the snapshot may cover.
     pub log: Vec<Entry>,
 }
 
 impl Restored {
-    /// The first start of a new group: each of its members starts with the same list.
+    /// Initial state of a new group; all its members must start with the same list.
     pub fn new(members: Members) -> Self {
         let snapshot = Snapshot { position: Position::default(), members };
         Self { hard: HardState::default(), snapshot, log: Vec::new() }
     }
 
-    /// Whether a replica may start from this: a store that can't tell must not guess.
-    pub fn verify(&self) -> Result<(), Broken> {
+    /// Checks that the state is complete and consistent.
+    pub fn verify(&self) -> Result<(), RestoreError> {
         let mut last = self.log.first().map_or(self.snapshot.position, |entry| entry.position);
         if last.index > self.snapshot.position.index.next() {
-            return Err(Broken::Gap { after: self.snapshot.position });
+            return Err(RestoreError::Gap { after: self.snapshot.position });
         }
         for entry in self.log.iter().skip(1) {
             if entry.index() != last.index.next() {
-                return Err(Broken::Gap { after: last });
+                return Err(RestoreError::Gap { after: last });
             }
             if entry.term() < last.term {
-                return Err(Broken::Term { at: entry.position });
+                return Err(RestoreError::DecreasingTerm { at: entry.position });
             }
             last = entry.position;
         }
-        // A snapshot may be synced before the write that enters its term; entries are in the same write or later.
+        // A snapshot may be persisted before the write that records its term. Entries are written
+        // with their term or after it.
         if last.index > self.snapshot.position.index && self.hard.term < last.term {
-            return Err(Broken::HardState { at: last });
+            return Err(RestoreError::StaleHardState { at: last });
         }
         Ok(())
     }
 
-    /// The same with a term and vote.
+    /// Sets the term and vote.
     #[must_use]
     pub const fn with_hard(mut self, hard: HardState) -> Self {
         self.hard = hard;
         self
     }
 
-    /// The same with a snapshot.
+    /// Sets the snapshot.
     #[must_use]
     pub fn with_snapshot(mut self, snapshot: Snapshot) -> Self {
         self.snapshot = snapshot;
         self
     }
 
-    /// The same with entries.
+    /// Sets the entries.
     #[must_use]
     pub fn with_log(mut self, log: Vec<Entry>) -> Self {
         self.log = log;
--- a/src/consensus/timer.rs
+++ b/src/consensus/timer.rs
@@ -1,4 +1,4 @@
-//! All that depends on time. What a timeout changes is state of its own, so that decisions need no clock.
+//! Timeouts. Their effects are kept in state of their own, so that other decisions need no clock.
 
 use rand::Rng;
 use rand::rngs::SmallRng;
@@ -9,47 +9,48 @@
 use super::replica::State;
 use crate::id;
 
-/// Heartbeats that a replica may miss in a row before the leader counts on it no longer: five, which is
-/// half the shortest election timeout, so that a witness steps in before callers wait a second.
+/// Consecutive missed heartbeats after which the leader considers a member unresponsive. Half of
+/// the minimum election timeout, so that a witness takes over before callers wait for a second.
 pub(super) const MISSED_HEARTBEATS: u32 = 5;
 
-/// An election won takes no more heartbeats than this: the answer to the pre-vote, the vote and its answer, each with a sync.
-const ELECTED_HEARTBEATS: u32 = 4;
+/// Upper limit on the duration of a successful election, in heartbeats: a pre-vote response, a vote
+/// and its response, each with a sync.
+const ELECTION_HEARTBEATS: u32 = 4;
 
-/// A replica that has met no leader since its start waits for this part of the usual time: where a leader is there, the
-/// pre-vote fails and disturbs nobody, and where all have started at once, nothing is served before there is one. The first
-/// pre-votes may be lost, as links come up one by one.
-const FIRST_ELECTION: u32 = 2;
+/// Divides the election timeout until the first contact with a leader. While there is a leader the
+/// pre-vote fails harmlessly; when all replicas start together it shortens the time until one is
+/// elected, even if the first pre-votes are lost while links are established.
+const FIRST_ELECTION_DIVISOR: u32 = 2;
 
-/// A span of time that has run out.
+/// A timeout that expired.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Timeout {
-    /// A follower or candidate heard no leader, or won no election.
+    /// A follower has no contact with a leader, or a candidate has won no election.
     Election,
-    /// A leader's next heartbeat is due.
+    /// The leader's next heartbeat is due.
     Heartbeat,
-    /// A leader has to have heard a majority since the last time.
+    /// The leader has to check that a majority responded since the last check.
     Quorum,
-    /// A leader heard nothing from a member, or it makes no headway.
-    Silent(id::Replica),
+    /// A member does not respond to the leader or makes no progress.
+    Unresponsive(id::Replica),
 }
 
-/// The instants at which timeouts run out.
+/// Deadlines of the timeouts.
 #[derive(Debug, Clone)]
 pub(super) struct Timers {
     election: Instant,
-    /// Whether a leader was heard since the start.
-    met_leader: bool,
-    /// Until when a leader counts as heard of.
-    leader: Instant,
+    /// Whether there was contact with a leader since the start.
+    has_seen_leader: bool,
+    /// When the leader ceases to count as active.
+    leader_expiry: Instant,
     heartbeat: Instant,
     quorum: Instant,
 }
 
 impl Timers {
     pub(super) fn new(config: &Config, rng: &mut SmallRng, now: Instant) -> Self {
-        let election = now + election(config, rng) / FIRST_ELECTION;
-        Self { election, met_leader: false, leader: now, heartbeat: now, quorum: now }
+        let election = now + election(config, rng) / FIRST_ELECTION_DIVISOR;
+        Self { election, has_seen_leader: false, leader_expiry: now, heartbeat: now, quorum: now }
     }
 
     pub(super) fn deadline(&self, leads: bool) -> Instant {
@@ -57,9 +58,9 @@
     }
 }
 
-/// Randomised between once and twice the configured time, so that two candidates rarely collide twice.
+/// Random between one and two times the configured timeout, to avoid repeated split votes.
 fn election(config: &Config, rng: &mut SmallRng) -> std::time::Duration {
-    config.election.mul_f64(1.0 + rng.random::<f64>())
+    config.election_timeout.mul_f64(1.0 + rng.random::<f64>())
 }
 
 impl Replica {
@@ -76,90 +77,90 @@
         if self.timers.heartbeat > now {
             return;
         }
-        if self.timers.heartbeat + self.config.election <= now {
-            self.excuse(now);
+        if self.timers.heartbeat + self.config.election_timeout <= now {
+            self.reset_member_timestamps(now);
         }
-        for id in self.silent(now) {
-            self.timeout(Timeout::Silent(id), now);
+        for id in self.unresponsive_members(now) {
+            self.timeout(Timeout::Unresponsive(id), now);
         }
         self.timeout(Timeout::Heartbeat, now);
-        self.end_transfer(now);
-        self.repair(now);
+        self.expire_transfer(now);
+        self.repair_members(now);
     }
 
-    /// Acts on a timeout, whatever the time.
+    /// Handles a timeout regardless of the time.
     pub(super) fn timeout(&mut self, timeout: Timeout, now: Instant) {
         match timeout {
             Timeout::Election => self.start_pre_vote(now),
-            Timeout::Heartbeat => self.beat(now),
+            Timeout::Heartbeat => self.send_heartbeats(now),
             Timeout::Quorum => self.check_quorum(now),
-            Timeout::Silent(id) => self.miss(id),
+            Timeout::Unresponsive(id) => self.mark_unresponsive(id),
         }
     }
 
-    /// Forgets a leader that has been silent for the shortest election timeout.
-    pub(super) fn age_leader(&mut self, now: Instant) {
-        if self.timers.leader <= now {
+    /// Marks the leader inactive after the minimum election timeout without contact.
+    pub(super) fn expire_leader(&mut self, now: Instant) {
+        if self.timers.leader_expiry <= now {
             self.leader_recent = false;
         }
     }
 
     pub(super) fn restart_election(&mut self, now: Instant) {
-        let part = if self.timers.met_leader { 1 } else { FIRST_ELECTION };
+        let part = if self.timers.has_seen_leader { 1 } else { FIRST_ELECTION_DIVISOR };
         self.timers.election = now + election(&self.config, &mut self.rng) / part;
     }
 
-    /// Leaves the election that another replica began the time to end.
+    /// Delays this replica's election until another one has had time to finish.
     pub(super) fn postpone_election(&mut self, now: Instant) {
-        let ended = now + self.config.heartbeat * ELECTED_HEARTBEATS;
+        let ended = now + self.config.heartbeat_interval * ELECTION_HEARTBEATS;
         self.timers.election = self.timers.election.max(ended);
     }
 
     pub(super) fn restart_heartbeat(&mut self, now: Instant) {
-        self.timers.heartbeat = now + self.config.heartbeat;
+        self.timers.heartbeat = now + self.config.heartbeat_interval;
     }
 
     pub(super) fn restart_quorum(&mut self, now: Instant) {
-        self.timers.quorum = now + self.config.election;
+        self.timers.quorum = now + self.config.election_timeout;
     }
 
-    /// A leader's message came.
-    pub(super) fn hear_leader(&mut self, now: Instant) {
+    /// Records contact with the leader.
+    pub(super) fn record_leader_contact(&mut self, now: Instant) {
         self.leader_recent = true;
-        self.timers.met_leader = true;
-        self.timers.leader = now + self.config.election;
+        self.timers.has_seen_leader = true;
+        self.timers.leader_expiry = now + self.config.election_timeout;
         self.restart_election(now);
     }
 
-    /// This process itself stood still, for as long as an election takes at least.
+    /// Restarts the members' timeouts after this process was suspended for at least an election
+    /// timeout.
     ///
-    /// All others then look as if they had been silent, and the first to answer would be taken for the last ones
-    /// alive: voters that are well would be replaced. So their silence counts from now on.
-    fn excuse(&mut self, now: Instant) {
+    /// All members would otherwise seem to have failed, and healthy voters would be replaced by the
+    /// first learner that responds.
+    fn reset_member_timestamps(&mut self, now: Instant) {
         if let State::Leader(leader) = &mut self.state {
-            leader.progress.values_mut().for_each(|progress| progress.excuse(now));
+            leader.progress.values_mut().for_each(|progress| progress.reset_timestamps(now));
         }
     }
 
-    /// The members that have missed their heartbeats or make no headway.
-    fn silent(&self, now: Instant) -> Vec<id::Replica> {
+    /// The members that missed their heartbeats or make no progress.
+    fn unresponsive_members(&self, now: Instant) -> Vec<id::Replica> {
         let State::Leader(leader) = &self.state else {
             return Vec::new();
         };
         let last = self.log.last().index;
-        let patience = self.config.heartbeat * MISSED_HEARTBEATS;
-        let overdue = leader
-            .progress
-            .iter()
-            .filter(|(_, p)| p.is_overdue(last, patience, self.config.election, now));
-        overdue.map(|(&id, _)| id).collect()
+        let response_timeout = self.config.heartbeat_interval * MISSED_HEARTBEATS;
+        let timed_out = leader.progress.iter().filter(|(_, p)| {
+            p.has_timed_out(last, response_timeout, self.config.election_timeout, now)
+        });
+        timed_out.map(|(&id, _)| id).collect()
     }
 
-    /// Lets a timeout run out whatever the time, for checks that explore all orders of events.
+    /// Expires a timeout regardless of the time, for model checking.
     #[cfg(feature = "faults")]
     pub fn expire(&mut self, timeout: Timeout, now: Instant) -> Vec<super::Output> {
         self.leader_recent = false;
         self.timeout(timeout, now);
-        self.finish(now)
+        self.finish_step(now)
     }
 }
--- a/src/consensus/transfer.rs
+++ b/src/consensus/transfer.rs
@@ -1,4 +1,4 @@
-//! Handing over the leadership before a graceful stop, so that callers wait for no election.
+//! Leadership transfer, so that a graceful stop causes no election timeout.
 
 use tokio::time::Instant;
 
@@ -9,56 +9,61 @@
 use super::replica::State;
 use crate::id;
 
-/// A transfer under way.
+/// A transfer in progress.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Transfer {
     to: id::Replica,
-    /// When it is given up, and proposals are taken again.
-    until: Instant,
-    told: bool,
+    /// When it is abandoned and proposals are accepted again.
+    deadline: Instant,
+    timeout_sent: bool,
 }
 
 impl Replica {
-    /// Begins a transfer to a data voter in touch; the driver sees how it ended by `SteppedDown`.
+    /// Starts a transfer to a responsive data voter. `SteppedDown` reports its completion to the
+    /// driver.
     pub(super) fn transfer(&mut self, to: Option<id::Replica>, now: Instant) {
         let members = self.log.members();
         let State::Leader(leader) = &mut self.state else {
             return;
         };
-        let suits = |id: &id::Replica| members.role(*id) == Some(Role::Voter);
-        let in_touch = leader.progress.iter().filter(|(id, p)| suits(id) && !p.missed);
-        let named = in_touch.filter(|(id, _)| to.is_none_or(|to| to == **id));
+        let is_voter = |id: &id::Replica| members.role(*id) == Some(Role::Voter);
+        let responsive = leader.progress.iter().filter(|(id, p)| is_voter(id) && !p.unresponsive);
+        let named = responsive.filter(|(id, _)| to.is_none_or(|to| to == **id));
         let Some((&to, _)) = named.max_by_key(|(_, p)| p.matched) else {
             return;
         };
-        leader.transfer = Some(Transfer { to, until: now + self.config.election, told: false });
-        self.hand_over();
+        leader.transfer = Some(Transfer {
+            to,
+            deadline: now + self.config.election_timeout,
+            timeout_sent: false,
+        });
+        self.advance_transfer();
     }
 
-    /// Tells the successor to stand once its log is complete.
-    pub(super) fn hand_over(&mut self) {
+    /// Requests that the new leader start its election once its log is complete.
+    pub(super) fn advance_transfer(&mut self) {
         let last = self.log.last().index;
         let State::Leader(leader) = &mut self.state else {
             return;
         };
-        let Some(transfer) = leader.transfer.as_mut().filter(|t| !t.told) else {
+        let Some(transfer) = leader.transfer.as_mut().filter(|t| !t.timeout_sent) else {
             return;
         };
         let to = transfer.to;
         if leader.progress.get(&to).is_some_and(|p| p.matched == last) {
-            transfer.told = true;
+            transfer.timeout_sent = true;
             self.send(to, Message::new(self.hard.term, Body::TimeoutNow));
         }
     }
 
-    /// Gives up a transfer that took longer than an election should.
-    pub(super) fn end_transfer(&mut self, now: Instant) {
+    /// Abandons a transfer that took longer than an election timeout.
+    pub(super) fn expire_transfer(&mut self, now: Instant) {
         if let State::Leader(leader) = &mut self.state {
-            leader.transfer = leader.transfer.filter(|t| t.until > now);
+            leader.transfer = leader.transfer.filter(|t| t.deadline > now);
         }
     }
 
-    pub(super) const fn is_handing_over(&self) -> bool {
+    pub(super) const fn is_transferring(&self) -> bool {
         matches!(&self.state, State::Leader(leader) if leader.transfer.is_some())
     }
 }
--- a/src/control/seat.rs
+++ b/src/control/seat.rs
@@ -231,7 +231,7 @@
         let mut consensus = consensus::Config::new(own)
             .with_replacement(plan.replace_after(), plan.voters(&self.name));
         if let Some((heartbeat, election)) = plan.pace() {
-            consensus = consensus.with_pace(heartbeat, election);
+            consensus = consensus.with_timing(heartbeat, election);
         }
         if self.role == Role::Witness {
             consensus = consensus.with_witness();
--- a/src/group/driver.rs
+++ b/src/group/driver.rs
@@ -196,7 +196,7 @@
         if !self.replica.is_leader() {
             drop(answer.send(Err(not_leader(self.replica.leader()))));
         } else if self.waiting.len() >= self.config.waiting {
-            drop(answer.send(Err(Error::Refused(Refusal::Full))));
+            drop(answer.send(Err(Error::Refused(Refusal::LogFull))));
         } else {
             self.waiting.push(command, Some(answer));
         }
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -50,7 +50,7 @@
     vec![Change::Remove(replica(voter)), Change::AddLearner(newcomer), Change::Promote(newcomer)]
 }
 
-/// Within these bounds the planted fault `SkipOwnTerm` loses an entry.
+/// Within these bounds the planted fault `CommitEarlierTerm` loses an entry.
 fn earlier_terms() -> (Group, Bounds) {
     let group = Group { split: true, ..Group::new(3) };
     let once = Bounds { proposals: 1, heartbeats: 1, crashes: 1, duplicates: 1, ..Bounds::NONE };
@@ -178,7 +178,7 @@
 #[test]
 fn finds_a_skipped_own_term_rule() {
     let (group, bounds) = earlier_terms();
-    finds(Fault::SkipOwnTerm, "lacks", group, bounds);
+    finds(Fault::CommitEarlierTerm, "lacks", group, bounds);
 }
 
 #[test]
@@ -190,7 +190,7 @@
 #[test]
 fn finds_an_amnesiac_vote() {
     let bounds = Bounds { elections: 1, lost_folders: 1, ..Bounds::NONE };
-    finds(Fault::AmnesiacVote, "old identity", Group::new(3), bounds);
+    finds(Fault::VoteWithoutMembers, "old identity", Group::new(3), bounds);
 }
 
 #[test]
--- a/tests/models/ghost.rs
+++ b/tests/models/ghost.rs
@@ -63,7 +63,7 @@
         }
         let earlier = self.committed.iter().filter(|(_, by)| *by < term);
         for (entry, by) in earlier {
-            if !peer.replica.log().agrees(entry.position) {
+            if !peer.replica.log().matches(entry.position) {
                 return Err(format!(
                     "leader of term {term} lacks {} committed in term {by}",
                     entry.position
--- a/tests/models/world.rs
+++ b/tests/models/world.rs
@@ -216,10 +216,14 @@
             let others =
                 leader.log().members().with_role(Role::Voter).filter(|&id| id != leader.id());
             for id in others {
-                add(Event::Timeout(Timeout::Silent(id)), "misses a voter", &|ghost, bounds| {
-                    ghost.silenced.insert((term, id));
-                    bounds.silences -= 1;
-                });
+                add(
+                    Event::Timeout(Timeout::Unresponsive(id)),
+                    "misses a voter",
+                    &|ghost, bounds| {
+                        ghost.silenced.insert((term, id));
+                        bounds.silences -= 1;
+                    },
+                );
             }
         }
         for (place, &change) in self.bounds.changes.iter().enumerate() {
@@ -317,7 +321,7 @@
         ghost.retired.insert(old.id);
         ghost.identities += 1;
         let mut config = old.clone();
-        if explorer.group.fault != Some(Fault::AmnesiacVote) {
+        if explorer.group.fault != Some(Fault::VoteWithoutMembers) {
             config.id = replica(100 + ghost.identities);
         }
         world.cause = (old.id, None, "loses its folder");
