--- a/benches/state.rs
+++ b/benches/state.rs
@@ -33,7 +33,7 @@
 use masticstream::ledger::Start;
 use masticstream::ledger::Step;
 use masticstream::store::Folder;
-use masticstream::store::Opened;
+use masticstream::store::Storage;
 use masticstream::unit::Incarnation;
 use masticstream::unit::Index;
 use masticstream::unit::Sequence;
@@ -86,10 +86,10 @@
 
 async fn elect(folder: &Path, batch_bytes: usize) -> Group<Ledger> {
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut opened: Vec<Opened<Folder>> = Vec::new();
+    let mut opened: Vec<Storage<Folder>> = Vec::new();
     for number in 0..3 {
         let folder = Folder::open(&folder.join(number.to_string())).expect("a folder");
-        opened.push(Opened::new(folder, &mut rng).expect("opens"));
+        opened.push(Storage::new(folder, &mut rng).expect("opens"));
     }
     let members = Members::new(opened.iter().map(|opened| opened.id));
     let peers = Peers::default();
@@ -195,9 +195,9 @@
 }
 
 /// A folder with so many changes, ten in an entry, and a snapshot after `covered` of them.
-fn folder_with(path: &Path, covered: u64) -> Opened<Folder> {
+fn folder_with(path: &Path, covered: u64) -> Storage<Folder> {
     let mut rng = SmallRng::seed_from_u64(2);
-    let mut opened = Opened::new(Folder::open(path).expect("a folder"), &mut rng).expect("opens");
+    let mut opened = Storage::new(Folder::open(path).expect("a folder"), &mut rng).expect("opens");
     opened.bootstrap(Members::new([opened.id])).expect("writes");
     let mut ledger = Ledger::default();
     for index in 1..=CHANGES / 10 {
@@ -229,8 +229,8 @@
 /// Opens a folder and brings the machine to the end of the log, as a driver does once it hears the commit.
 fn restart(path: &Path) -> Ledger {
     let mut rng = SmallRng::seed_from_u64(3);
-    let opened = Opened::new(Folder::open(path).expect("a folder"), &mut rng).expect("opens");
-    let machine = opened.machine.as_deref();
+    let opened = Storage::new(Folder::open(path).expect("a folder"), &mut rng).expect("opens");
+    let machine = opened.snapshot_data.as_deref();
     let mut ledger: Ledger =
         machine.map_or_else(Ledger::default, |data| ciborium::from_reader(data).expect("decodes"));
     let covered = opened.restored.snapshot.position.index;
--- a/src/control/seat.rs
+++ b/src/control/seat.rs
@@ -30,7 +30,7 @@
 use crate::group::Machine;
 use crate::id;
 use crate::store::Folder;
-use crate::store::Opened;
+use crate::store::Storage;
 use crate::wire::Cast;
 use crate::wire::Mesh;
 use crate::wire::Peer;
@@ -180,7 +180,7 @@
         let own = opened.id;
         self.shared.routes.learn(own, &self.shared.me);
         self.tell(&opened);
-        if opened.is_pristine() {
+        if opened.is_empty() {
             match self.form(own).await {
                 Step::Begin(members) => {
                     info!(self.shared.log, "group formed"; "group" => %self.name);
@@ -205,21 +205,21 @@
         ended
     }
 
-    async fn open(&mut self) -> Result<Opened<Folder>, Ended> {
+    async fn open(&mut self) -> Result<Storage<Folder>, Ended> {
         let folder = self.folder.clone();
         let mut rng = SmallRng::from_rng(&mut self.rng);
         let is_witness = self.role == Role::Witness;
         let opened = tokio::task::spawn_blocking(move || {
             let disk = Folder::open(&folder)?;
-            if is_witness { Opened::witness(disk, &mut rng) } else { Opened::new(disk, &mut rng) }
+            if is_witness { Storage::witness(disk, &mut rng) } else { Storage::new(disk, &mut rng) }
         });
         Ok(opened.await??)
     }
 
-    fn tell(&self, opened: &Opened<Folder>) {
+    fn tell(&self, opened: &Storage<Folder>) {
         let identity = Identity {
             replica: opened.id,
-            pristine: opened.is_pristine(),
+            pristine: opened.is_empty(),
             members: opened.restored.snapshot.members.clone(),
             leads: false,
         };
--- a/src/group/driver.rs
+++ b/src/group/driver.rs
@@ -33,7 +33,7 @@
 use crate::consensus::Token;
 use crate::id;
 use crate::store::Disk;
-use crate::store::Opened;
+use crate::store::Storage;
 use crate::unit::Index;
 
 /// Requests that may wait for the driver; whoever asks more waits for room.
@@ -77,12 +77,12 @@
     /// while that is full.
     pub fn new(
         config: Config,
-        opened: Opened<D>,
+        opened: Storage<D>,
         outbox: mpsc::Sender<(id::Replica, Message)>,
         rng: SmallRng,
     ) -> Result<(Group<M>, Self), Stopped> {
         let applied = opened.restored.snapshot.position.index;
-        let machine = match &opened.machine {
+        let machine = match &opened.snapshot_data {
             Some(data) => {
                 ciborium::from_reader(data.as_slice()).map_err(|_| Stopped::Undecodable(applied))?
             }
@@ -107,7 +107,7 @@
             arrived: None,
             serve: None,
             snapshot_due: false,
-            snapshot_bytes: opened.machine.as_ref().map_or(0, Vec::len),
+            snapshot_bytes: opened.snapshot_data.as_ref().map_or(0, Vec::len),
             told: None,
             dropped: 0,
             failure: None,
--- a/src/group/tests.rs
+++ b/src/group/tests.rs
@@ -34,7 +34,7 @@
 use crate::ledger::Start;
 use crate::store::Disk;
 use crate::store::Memory;
-use crate::store::Opened;
+use crate::store::Storage;
 use crate::store::tests::faulty::Fault;
 use crate::store::tests::faulty::Loss;
 use crate::unit::Incarnation;
@@ -247,7 +247,7 @@
 async fn snapshot_is_served_to_members_that_hold_data_alone() {
     // A witness or a stranger asks for the snapshot. Served, bound data would leave the region.
     let mut rng = SmallRng::seed_from_u64(12);
-    let mut opened = Opened::new(Memory::default(), &mut rng).expect("new");
+    let mut opened = Storage::new(Memory::default(), &mut rng).expect("new");
     let [member, witness, stranger] = [1, 2, 3].map(id::Replica::new);
     let members = Members::new([opened.id, member]).with_member(witness, consensus::Role::Witness);
     let position = Position::new(Index::new(9), Term::new(1));
--- a/src/group/tests/cluster.rs
+++ b/src/group/tests/cluster.rs
@@ -26,8 +26,8 @@
 use crate::consensus::Members;
 use crate::consensus::Role;
 use crate::id;
-use crate::store::Opened;
-use crate::store::tests::faulty::Faulty;
+use crate::store::Storage;
+use crate::store::tests::faulty::FaultyDisk;
 use crate::store::tests::faulty::Loss;
 
 /// Longer than an election takes, lost votes included.
@@ -48,7 +48,7 @@
 
 /// A group of replicas, by their number in the order in which they were made.
 pub struct Cluster<M: Machine> {
-    pub disks: Vec<Faulty>,
+    pub disks: Vec<FaultyDisk>,
     pub ids: Vec<id::Replica>,
     witness: Option<usize>,
     snapshot_entries: usize,
@@ -71,7 +71,7 @@
         };
         let mut opened = Vec::new();
         for number in 0..count {
-            cluster.disks.push(Faulty::default());
+            cluster.disks.push(FaultyDisk::default());
             opened.push(cluster.open(number).expect("a good disk"));
         }
         cluster.ids = opened.iter().map(|opened| opened.id).collect();
@@ -86,15 +86,15 @@
         cluster
     }
 
-    fn open(&mut self, number: usize) -> Result<Opened<Faulty>, crate::store::Error> {
+    fn open(&mut self, number: usize) -> Result<Storage<FaultyDisk>, crate::store::Error> {
         let disk = self.disks[number].clone();
         if self.witness == Some(number) {
-            return Opened::witness(disk, &mut self.rng);
+            return Storage::witness(disk, &mut self.rng);
         }
-        Opened::new(disk, &mut self.rng)
+        Storage::new(disk, &mut self.rng)
     }
 
-    fn run(&mut self, number: usize, opened: Opened<Faulty>) -> Result<(), Stopped> {
+    fn run(&mut self, number: usize, opened: Storage<FaultyDisk>) -> Result<(), Stopped> {
         let id = opened.id;
         let mut consensus = consensus::Config::new(id).with_snapshot_entries(self.snapshot_entries);
         if self.witness == Some(number) {
@@ -103,7 +103,7 @@
         let config = Config::new(id).with_consensus(consensus);
         let (outbox, sent) = mpsc::channel(10_000);
         let rng = SmallRng::seed_from_u64(self.rng.random());
-        let (group, driver) = Driver::<M, Faulty>::new(config, opened, outbox, rng)?;
+        let (group, driver) = Driver::<M, FaultyDisk>::new(config, opened, outbox, rng)?;
         let pump = tokio::spawn(pump(id, sent, self.running.clone(), self.faults.clone()));
         let running =
             Running { group, driver: tokio::spawn(driver.run()), pump: pump.abort_handle() };
--- a/src/store/disk.rs
+++ b/src/store/disk.rs
@@ -1,30 +1,30 @@
-//! All that the store asks of a file system, so that tests can make any of it fail.
+//! The file system operations that the store needs, as a trait so that tests can inject faults.
 
 use std::io;
 
-/// Flat files in one folder.
+/// The files of one folder.
 ///
-/// A file's bytes last once [`sync`](Self::sync) returned; a new name, a rename or a removal lasts once
-/// [`sync_folder`](Self::sync_folder) did.
+/// A file's bytes are durable once [`sync`](Self::sync) returned; a created, renamed or removed
+/// name is durable once [`sync_folder`](Self::sync_folder) returned.
 pub trait Disk: Clone + Send + 'static {
-    /// The names of all files.
+    /// Lists the names of all files.
     fn names(&self) -> io::Result<Vec<String>>;
 
-    /// A whole file.
+    /// Reads a file.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// Writes at a file's end, and makes the file where it is missing.
+    /// Appends to a file, creating it if necessary.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
-    /// Waits until a file's bytes are on the disk.
+    /// Waits until a file's bytes are durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
-    /// Gives a file another name, in place of whatever had that name.
+    /// Renames a file, replacing any file with the new name.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
 
     /// Removes a file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 
-    /// Waits until the folder's names are on the disk.
+    /// Waits until the folder's names are durable.
     fn sync_folder(&mut self) -> io::Result<()>;
 }
--- a/src/store/errors.rs
+++ b/src/store/errors.rs
@@ -1,4 +1,4 @@
-//! Why a store can't be opened or written.
+//! Errors of the store.
 
 use std::io;
 use std::path::PathBuf;
@@ -8,10 +8,10 @@
 use crate::id;
 use crate::unit::Index;
 
-/// A store that can't be opened, or takes nothing more.
+/// An error when opening or writing a store.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// The folder can't be made or locked.
+    /// The folder can't be created or locked.
     #[error("folder {path}: {source}", path = path.display())]
     Folder {
         /// The folder.
@@ -19,8 +19,8 @@
         /// What the system said.
         source: io::Error,
     },
-    /// Another process holds the folder.
-    #[error("folder {path}: held by another process", path = path.display())]
+    /// Another process has locked the folder.
+    #[error("folder {path}: locked by another process", path = path.display())]
     Locked {
         /// The folder.
         path: PathBuf,
@@ -33,50 +33,52 @@
         /// What the system said.
         source: io::Error,
     },
-    /// A file isn't what was written.
-    #[error("{name}, byte {offset}: {damage}; restore the folder, or remove it whole to join anew")]
+    /// The content of a file is corrupt.
+    #[error(
+        "{name}, byte {offset}: {corruption}; restore the folder from a backup, or remove it entirely to rejoin the group"
+    )]
     Corrupt {
         /// The file.
         name: String,
-        /// Where in the file.
+        /// The offset in the file.
         offset: u64,
-        /// What is wrong.
-        damage: Damage,
+        /// The kind of corruption.
+        corruption: Corruption,
     },
-    /// An earlier write or sync failed, and it isn't known what the disk holds.
-    #[error("an earlier write failed; nothing more is taken until a restart")]
+    /// An earlier write or sync failed, so the content of the disk is unknown.
+    #[error("an earlier write failed; the store accepts no writes until a restart")]
     Poisoned,
 }
 
-/// What is wrong with a file.
+/// Kinds of corruption.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum Damage {
-    /// A checksum doesn't match, and this isn't the torn end of the log.
-    #[error("checksum or frame is wrong, and whole data follows or should follow")]
+pub enum Corruption {
+    /// A checksum doesn't match, and the frame is not a torn tail of the log.
+    #[error("invalid frame or checksum")]
     Checksum,
-    /// Written by a format that this version doesn't know.
-    #[error("format {0} is unknown")]
+    /// The file was written in a format unknown to this version.
+    #[error("unknown format {0}")]
     Format(u8),
-    /// The checksum matches, and the content makes no sense.
+    /// The checksum matches, but the content can't be decoded.
     #[error("content can't be decoded")]
-    Content,
+    Encoding,
     /// The file belongs to another replica.
-    #[error("belongs to replica {0}")]
-    Foreign(id::Replica),
-    /// A file is missing that must be there.
-    #[error("missing")]
+    #[error("file belongs to replica {0}")]
+    WrongReplica(id::Replica),
+    /// A required file is missing.
+    #[error("file is missing")]
     Missing,
     /// Entries are missing before this one.
-    #[error("entries are missing before {0}")]
+    #[error("entries before index {0} are missing")]
     Gap(Index),
-    /// The log begins after a snapshot that isn't there.
-    #[error("the log rests on a snapshot at {0} that is missing")]
+    /// The log starts after a snapshot that doesn't exist.
+    #[error("the snapshot at index {0} that the log follows is missing")]
     SnapshotMissing(Index),
 }
 
 impl Error {
-    pub(super) fn corrupt(name: &str, offset: usize, damage: Damage) -> Self {
-        Self::Corrupt { name: name.to_string(), offset: offset as u64, damage }
+    pub(super) fn corrupt(name: &str, offset: usize, corruption: Corruption) -> Self {
+        Self::Corrupt { name: name.to_string(), offset: offset as u64, corruption }
     }
 
     pub(super) fn file(name: &str) -> impl Fn(io::Error) -> Self + '_ {
--- a/src/store/folder.rs
+++ b/src/store/folder.rs
@@ -1,4 +1,4 @@
-//! A folder of the file system, held by one process at a time.
+//! A folder on disk, locked by one process at a time.
 
 use std::fs;
 use std::fs::File;
@@ -15,20 +15,22 @@
 
 const LOCK: &str = "lock";
 
-/// A locked folder. Clones share the lock; it falls with the last of them, or with the process.
+/// A locked folder. Clones share the lock, which is released when the last of them is dropped or
+/// the process ends.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
     lock: Arc<File>,
-    /// The file written last, so that a log's writes don't open it each time.
+    /// The most recently written file, kept open to avoid reopening it for each write.
     open: Option<(String, File)>,
 }
 
 impl Folder {
-    /// Makes the folder where it is missing, and locks it.
+    /// Creates the folder if necessary and locks it.
     ///
-    /// Failure: two processes on one folder (a hand-started second daemon) append to one log, and both vote under
-    /// one identity. The lock belongs to the open file, so the system frees it even after a kill.
+    /// Without the lock, two processes started on one folder would append to one log and vote under
+    /// one identity. The lock belongs to the open file, so the system releases it even after a
+    /// kill.
     pub fn open(path: &Path) -> Result<Self, Error> {
         let describe = |source| Error::Folder { path: path.to_path_buf(), source };
         fs::create_dir_all(path).map_err(describe)?;
--- a/src/store/frame.rs
+++ b/src/store/frame.rs
@@ -1,20 +1,21 @@
-//! The unit of writing: a checksummed run of bytes.
+//! Checksummed frames, the unit of writing.
 
 use crc32fast::Hasher;
 
-use super::Damage;
+use super::Corruption;
 
-/// Opens each frame; the last byte is the version of the format.
+/// Start of each frame, followed by the format version.
 const MAGIC: [u8; 3] = *b"mst";
 const FORMAT: u8 = 1;
 
 /// Magic, format, length and checksum.
 const HEADER_BYTES: usize = 12;
 
-/// Ties a checksum to one file of one replica.
+/// Binds a checksum to one file of one replica.
 ///
-/// Callers' data is in the log, and a checksum alone can be forged: an answer that looks like a frame, behind a torn
-/// one, would make a repairable tail look like damage. The salt comes from the identity, which callers don't know.
+/// The log contains callers' data, which could imitate a frame: behind a torn frame it would make a
+/// recoverable tail look like corruption. The salt derives from the identity, which callers don't
+/// know.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Salt(u32);
 
@@ -25,7 +26,7 @@
     }
 }
 
-/// One frame around a payload.
+/// Encodes a payload as a frame.
 pub fn encode(payload: &[u8], salt: Salt) -> Vec<u8> {
     let length = u32::try_from(payload.len()).expect("a batch or snapshot stays far below 4 GB");
     let mut frame = Vec::with_capacity(HEADER_BYTES + payload.len());
@@ -45,7 +46,7 @@
     hasher.finalize()
 }
 
-/// The frames of a file, one after the other.
+/// Iterates over the frames of a file.
 #[derive(Debug)]
 pub struct Frames<'a> {
     bytes: &'a [u8],
@@ -58,13 +59,13 @@
         Self { bytes, at: 0, salt }
     }
 
-    /// How far the frames read so far reach.
+    /// The end of the frames read so far.
     pub const fn offset(&self) -> usize {
         self.at
     }
 
-    /// The next payload, `None` at the file's end, or what is wrong at the offset.
-    pub fn next(&mut self) -> Result<Option<&'a [u8]>, Damage> {
+    /// The next payload, `None` at the end of the file, or the corruption at the offset.
+    pub fn next(&mut self) -> Result<Option<&'a [u8]>, Corruption> {
         let rest = &self.bytes[self.at..];
         if rest.is_empty() {
             return Ok(None);
@@ -74,27 +75,27 @@
         Ok(Some(payload))
     }
 
-    /// Whether a whole frame stands anywhere after the offset, so that damage here is no torn end.
-    pub fn is_followed(&self) -> bool {
+    /// Whether a valid frame follows the offset, so that an invalid one here is not a torn tail.
+    pub fn has_later_frame(&self) -> bool {
         let rest = self.bytes.get(self.at + 1..).unwrap_or_default();
         (0..rest.len())
             .any(|at| rest[at..].starts_with(&MAGIC) && decode(&rest[at..], self.salt).is_ok())
     }
 }
 
-fn decode(bytes: &[u8], salt: Salt) -> Result<&[u8], Damage> {
-    let (header, rest) = bytes.split_first_chunk::<HEADER_BYTES>().ok_or(Damage::Checksum)?;
+fn decode(bytes: &[u8], salt: Salt) -> Result<&[u8], Corruption> {
+    let (header, rest) = bytes.split_first_chunk::<HEADER_BYTES>().ok_or(Corruption::Checksum)?;
     let [m0, m1, m2, format, l0, l1, l2, l3, c0, c1, c2, c3] = *header;
     if [m0, m1, m2] != MAGIC {
-        return Err(Damage::Checksum);
+        return Err(Corruption::Checksum);
     }
     if format != FORMAT {
-        return Err(Damage::Format(format));
+        return Err(Corruption::Format(format));
     }
     let length = u32::from_be_bytes([l0, l1, l2, l3]);
-    let payload = rest.get(..length as usize).ok_or(Damage::Checksum)?;
+    let payload = rest.get(..length as usize).ok_or(Corruption::Checksum)?;
     if checksum(length, payload, salt) != u32::from_be_bytes([c0, c1, c2, c3]) {
-        return Err(Damage::Checksum);
+        return Err(Corruption::Checksum);
     }
     Ok(payload)
 }
--- a/src/store/identity.rs
+++ b/src/store/identity.rs
@@ -1,10 +1,10 @@
-//! The identity of a folder, made once.
+//! The identity of a replica's folder.
 
 use rand::Rng;
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::Damage;
+use super::Corruption;
 use super::Disk;
 use super::Error;
 use super::frame;
@@ -16,9 +16,9 @@
 use crate::id;
 
 const NAME: &str = "identity";
-const NEW: &str = "identity.new";
+const TEMPORARY_NAME: &str = "identity.new";
 
-/// The identity's file is the only one without its salt, since it tells the salt.
+/// The identity file is not salted, since it is the source of the salt.
 const SALT: Salt = Salt::new(0, 0);
 
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
@@ -26,38 +26,39 @@
     id: id::Replica,
 }
 
-/// Reads the folder's identity, or makes one in a folder that never had any.
+/// Reads the folder's identity, or creates one if the folder is new.
 ///
-/// Failure: a replica that lost its log and kept its identity votes twice in a term, or lets an entry go that it
-/// acknowledged. The log is begun before the identity is written, so an identity without a log tells of a loss.
+/// A replica that lost its log but kept its identity could vote twice in a term or lose an entry
+/// that it acknowledged. The log is created before the identity is written, so an identity without
+/// a log reveals the loss.
 pub(super) fn open(disk: &mut impl Disk, rng: &mut impl Rng) -> Result<id::Replica, Error> {
     let names = disk.names().map_err(Error::file("."))?;
     if names.iter().any(|name| name == NAME) {
         return read(disk);
     }
     if names.iter().any(|name| snapshots::is_name(name)) || log::has_content(disk, &names)? {
-        return Err(Error::corrupt(NAME, 0, Damage::Missing));
+        return Err(Error::corrupt(NAME, 0, Corruption::Missing));
     }
     let id = id::Replica::random(rng);
-    log::begin(disk, id)?;
+    log::create(disk, id)?;
     let bytes = frame::encode(&record::encode(&Identity { id }), SALT);
-    replace(disk, NEW, NAME, &[&bytes])?;
+    write_atomically(disk, TEMPORARY_NAME, NAME, &[&bytes])?;
     Ok(id)
 }
 
 fn read(disk: &impl Disk) -> Result<id::Replica, Error> {
     let bytes = disk.read(NAME).map_err(Error::file(NAME))?;
-    let corrupt = |damage| Error::corrupt(NAME, 0, damage);
+    let corrupt = |corruption| Error::corrupt(NAME, 0, corruption);
     let payload = Frames::new(&bytes, SALT)
         .next()
         .map_err(corrupt)?
-        .ok_or_else(|| corrupt(Damage::Missing))?;
+        .ok_or_else(|| corrupt(Corruption::Missing))?;
     let identity: Identity = record::decode(payload).map_err(corrupt)?;
     Ok(identity.id)
 }
 
-/// Writes a whole file so that a crash leaves either the old one or the new one under its name.
-pub(super) fn replace(
+/// Writes a file atomically: after a crash, its name refers to either the old or the new content.
+pub(super) fn write_atomically(
     disk: &mut impl Disk,
     new: &str,
     name: &str,
--- a/src/store/memory.rs
+++ b/src/store/memory.rs
@@ -1,4 +1,4 @@
-//! The disk of a VM that has none.
+//! In-memory storage for VMs without a disk.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -9,7 +9,7 @@
 
 use super::Disk;
 
-/// Files in memory. They end with the process, so each start has a new identity.
+/// Files in memory. They are lost with the process, so each start gets a new identity.
 #[derive(Debug, Clone, Default)]
 pub struct Memory(Arc<Mutex<BTreeMap<String, Vec<u8>>>>);
 
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,8 +1,9 @@
-//! Durable state of one replica: a log of segments and the last snapshot, in one folder.
+//! Persistent state of one replica: a segmented log and the latest snapshot, in one folder.
 //!
-//! Nothing is acknowledged before the file, and the folder where a name is new, was synced. A tail that a crash
-//! tore is repaired; damage anywhere else is refused with its place, and nothing is guessed. After a failed write
-//! or sync the store takes nothing more: what is in the page cache then may differ from what is on the disk.
+//! Writes are acknowledged only after the file, and for a new name its folder, was synced. A log
+//! tail torn by a crash is truncated; any other corruption is reported with its location and never
+//! repaired. After a failed write or sync the store accepts nothing more, because the page cache
+//! may differ from the disk.
 
 mod disk;
 mod errors;
@@ -11,21 +12,21 @@
 mod identity;
 mod log;
 mod memory;
-mod opened;
 mod record;
 mod replay;
 mod scan;
 mod segment;
 mod snapshots;
+mod storage;
 
 pub use disk::Disk;
-pub use errors::Damage;
+pub use errors::Corruption;
 pub use errors::Error;
 pub use folder::Folder;
 pub use log::Log;
 pub use memory::Memory;
-pub use opened::Opened;
 pub use snapshots::Snapshots;
+pub use storage::Storage;
 
 #[cfg(test)]
 pub(crate) mod tests;
--- a/src/store/record.rs
+++ b/src/store/record.rs
@@ -1,10 +1,10 @@
-//! What stands in the log's frames.
+//! Records in the log's frames.
 
 use serde::Deserialize;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use super::Damage;
+use super::Corruption;
 use crate::consensus::Entry;
 use crate::consensus::HardState;
 use crate::consensus::Persist;
@@ -12,35 +12,36 @@
 use crate::id;
 use crate::unit::Index;
 
-/// The first frame of a segment: all that the segments before it settled, so that they can be removed.
+/// The first frame of a segment: the state left by earlier segments, so that these can be removed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
-    /// Whose log it is.
+    /// The replica that the log belongs to.
     pub id: id::Replica,
     /// The segment's number.
     pub number: u64,
-    /// The term and vote when the segment was begun.
+    /// The term and vote when the segment was created.
     pub hard: HardState,
-    /// The snapshot that the log rested on.
-    pub floor: Snapshot,
+    /// The snapshot that the log follows.
+    #[serde(rename = "floor")]
+    pub base: Snapshot,
 }
 
-/// One change of the log; the frames after the header hold lists of these.
+/// A change of the log; each frame after the header holds a list of these.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
     /// A new term and vote.
     Hard(HardState),
-    /// All entries go, and the log rests on this snapshot.
+    /// Discard all entries; the log follows this snapshot.
     Reset(Snapshot),
-    /// The entries from this index on go.
+    /// Discard the entries from this index on.
     Truncate(Index),
-    /// Entries that follow the last one.
+    /// Append entries.
     Entries(Vec<Entry>),
 }
 
 impl Record {
-    /// The records of one write, in the order in which they count.
-    pub fn list(persist: &Persist) -> Vec<Self> {
+    /// The records of one write, in the order in which they apply.
+    pub fn from_write(persist: &Persist) -> Vec<Self> {
         let mut records = Vec::new();
         records.extend(persist.hard.map(Self::Hard));
         records.extend(persist.reset.clone().map(Self::Reset));
@@ -51,7 +52,7 @@
         records
     }
 
-    /// The highest index written by this record, zero if it writes no entry.
+    /// The highest index in this record, zero if it has no entries.
     pub fn last_index(&self) -> Index {
         match self {
             Self::Entries(entries) => entries.last().map_or(Index::ZERO, Entry::index),
@@ -66,6 +67,6 @@
     bytes
 }
 
-pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Damage> {
-    ciborium::from_reader(bytes).map_err(|_| Damage::Content)
+pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Corruption> {
+    ciborium::from_reader(bytes).map_err(|_| Corruption::Encoding)
 }
--- a/src/store/replay.rs
+++ b/src/store/replay.rs
@@ -1,6 +1,6 @@
-//! The log's state as its records build it up.
+//! Recovers the state of the log from its records.
 
-use super::Damage;
+use super::Corruption;
 use super::record::Header;
 use super::record::Record;
 use super::segment;
@@ -9,31 +9,32 @@
 use crate::consensus::Snapshot;
 use crate::unit::Index;
 
-/// What the records read so far come to.
+/// The state after the records read so far.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(super) struct Replay {
     pub hard: HardState,
-    pub floor: Snapshot,
+    pub base: Snapshot,
     pub entries: Vec<Entry>,
-    /// Whether the first entry must follow the floor, since no segment was removed.
-    whole: bool,
+    /// Whether the first entry must directly follow the base snapshot, because no segment was
+    /// removed.
+    from_base: bool,
 }
 
 impl Replay {
-    /// Starts from the first segment that is kept.
+    /// Starts from the header of the first segment.
     pub fn new(header: &Header) -> Self {
-        let whole = header.number == segment::FIRST;
-        Self { hard: header.hard, floor: header.floor.clone(), entries: Vec::new(), whole }
+        let from_base = header.number == segment::FIRST;
+        Self { hard: header.hard, base: header.base.clone(), entries: Vec::new(), from_base }
     }
 
-    /// Takes in the header of a later segment.
+    /// Applies the header of a later segment.
     pub fn begin(&mut self, header: Header) {
         self.hard = header.hard;
-        self.floor = header.floor;
+        self.base = header.base;
     }
 
-    /// Carries a record out.
-    pub fn apply(&mut self, record: Record) -> Result<(), Damage> {
+    /// Applies a record.
+    pub fn apply(&mut self, record: Record) -> Result<(), Corruption> {
         match record {
             Record::Hard(hard) => self.hard = hard,
             Record::Reset(snapshot) => self.reset(snapshot),
@@ -45,36 +46,41 @@
         Ok(())
     }
 
-    /// Fits the log to the snapshot that is there; tells whether the log had to change.
+    /// Reconciles the log with the latest snapshot. Returns whether entries conflicted with it and
+    /// were discarded.
     ///
-    /// Failure: a crash falls between a snapshot's arrival and the log's reset. The log then still has entries that
-    /// the group has overruled, and they would be taken for committed ones that follow the snapshot.
-    pub fn fit(&mut self, snapshot: Option<&Snapshot>, has_data: bool) -> Result<bool, Damage> {
-        let floor = self.floor.position.index;
-        let end = self.entries.last().map_or(floor, Entry::index);
+    /// After a crash between persisting a leader's snapshot and resetting the log, the log still
+    /// has conflicting entries, which must not be treated as committed entries after the snapshot.
+    pub fn reconcile(
+        &mut self,
+        snapshot: Option<&Snapshot>,
+        has_data: bool,
+    ) -> Result<bool, Corruption> {
+        let base = self.base.position.index;
+        let end = self.entries.last().map_or(base, Entry::index);
         match snapshot {
-            Some(snapshot) if snapshot.position.index >= floor => self.floor = snapshot.clone(),
-            _ if has_data && floor > Index::ZERO => return Err(Damage::SnapshotMissing(floor)),
+            Some(snapshot) if snapshot.position.index >= base => self.base = snapshot.clone(),
+            _ if has_data && base > Index::ZERO => return Err(Corruption::SnapshotMissing(base)),
             _ => {}
         }
-        let position = self.floor.position;
+        let position = self.base.position;
         let first = self.entries.first().map_or(position.index, Entry::index);
         if first > position.index.next() {
-            return Err(Damage::Gap(first));
+            return Err(Corruption::Gap(first));
         }
         let same = self.entries.iter().find(|entry| entry.index() == position.index);
-        let overruled =
+        let discarded =
             same.is_some_and(|entry| entry.position != position) || end < position.index;
-        if overruled {
+        if discarded {
             self.entries.clear();
         }
-        Ok(overruled)
+        Ok(discarded)
     }
 
     fn reset(&mut self, snapshot: Snapshot) {
-        self.floor = snapshot;
+        self.base = snapshot;
         self.entries.clear();
-        self.whole = true;
+        self.from_base = true;
     }
 
     fn truncate(&mut self, from: Index) {
@@ -82,11 +88,11 @@
         self.entries.truncate(kept);
     }
 
-    fn push(&mut self, entry: Entry) -> Result<(), Damage> {
+    fn push(&mut self, entry: Entry) -> Result<(), Corruption> {
         let last = self.entries.last().map(Entry::index);
-        let last = last.or_else(|| self.whole.then_some(self.floor.position.index));
+        let last = last.or_else(|| self.from_base.then_some(self.base.position.index));
         if last.is_some_and(|last| last.next() != entry.index()) {
-            return Err(Damage::Gap(entry.index()));
+            return Err(Corruption::Gap(entry.index()));
         }
         self.entries.push(entry);
         Ok(())
--- a/src/store/scan.rs
+++ b/src/store/scan.rs
@@ -1,6 +1,6 @@
-//! Reading one segment at a start.
+//! Reads one segment at startup.
 
-use super::Damage;
+use super::Corruption;
 use super::Error;
 use super::frame::Frames;
 use super::frame::Salt;
@@ -12,14 +12,15 @@
 use crate::id;
 use crate::unit::Index;
 
-/// How far a segment is whole, and the highest index in it.
+/// The valid length of a segment and the highest index in it.
 pub(super) struct Scan {
     pub length: usize,
     pub last: Index,
 }
 
 impl Scan {
-    /// Reads one segment into the replay. `None` for a last segment that a crash left without its header.
+    /// Reads one segment into the replay. Returns `None` for a last segment whose header was torn
+    /// by a crash.
     pub fn read(
         bytes: &[u8],
         id: id::Replica,
@@ -34,23 +35,23 @@
             let offset = frames.offset();
             let payload = match frames.next() {
                 Ok(payload) => payload,
-                Err(Damage::Checksum) if is_last && !frames.is_followed() => None,
-                Err(damage) => return Err(Error::corrupt(&name, offset, damage)),
+                Err(Corruption::Checksum) if is_last && !frames.has_later_frame() => None,
+                Err(corruption) => return Err(Error::corrupt(&name, offset, corruption)),
             };
             let Some(payload) = payload else {
-                let is_begun = offset > 0;
-                let may_lack_header = is_last && replay.is_some();
-                return match is_begun {
+                let has_header = offset > 0;
+                let may_be_empty = is_last && replay.is_some();
+                return match has_header {
                     true => Ok(Some(Self { length: offset, last })),
-                    false if may_lack_header => Ok(None),
-                    false => Err(Error::corrupt(&name, 0, Damage::Checksum)),
+                    false if may_be_empty => Ok(None),
+                    false => Err(Error::corrupt(&name, 0, Corruption::Checksum)),
                 };
             };
             let read = match offset {
                 0 => begin(payload, id, number, replay).map(|()| Index::ZERO),
                 _ => apply(payload, replay),
             };
-            last = last.max(read.map_err(|damage| Error::corrupt(&name, offset, damage))?);
+            last = last.max(read.map_err(|corruption| Error::corrupt(&name, offset, corruption))?);
         }
     }
 }
@@ -60,10 +61,10 @@
     id: id::Replica,
     number: u64,
     replay: &mut Option<Replay>,
-) -> Result<(), Damage> {
+) -> Result<(), Corruption> {
     let header: Header = record::decode(payload)?;
     if header.id != id || header.number != number {
-        return Err(Damage::Foreign(header.id));
+        return Err(Corruption::WrongReplica(header.id));
     }
     match replay {
         Some(replay) => replay.begin(header),
@@ -72,8 +73,8 @@
     Ok(())
 }
 
-fn apply(payload: &[u8], replay: &mut Option<Replay>) -> Result<Index, Damage> {
-    let replay = replay.as_mut().ok_or(Damage::Content)?;
+fn apply(payload: &[u8], replay: &mut Option<Replay>) -> Result<Index, Corruption> {
+    let replay = replay.as_mut().ok_or(Corruption::Encoding)?;
     let mut last = Index::ZERO;
     for record in record::decode::<Vec<Record>>(payload)? {
         last = last.max(record.last_index());
--- a/src/store/segment.rs
+++ b/src/store/segment.rs
@@ -1,6 +1,6 @@
-//! The files that the log consists of.
+//! Segment files of the log.
 
-use super::Damage;
+use super::Corruption;
 use super::Disk;
 use super::Error;
 use super::frame;
@@ -10,10 +10,10 @@
 
 const PREFIX: &str = "log-";
 
-/// The number of the segment that a new log begins with.
+/// The number of the first segment of a new log.
 pub(super) const FIRST: u64 = 1;
 
-/// Makes a segment with its header, durably, and tells its size.
+/// Creates a segment with its header, durably, and returns its size.
 pub(super) fn create(disk: &mut impl Disk, header: &Header) -> Result<usize, Error> {
     let name = name(header.number);
     let bytes = frame::encode(&record::encode(header), Salt::new(header.id.get(), header.number));
@@ -23,18 +23,18 @@
     Ok(bytes.len())
 }
 
-/// Refuses a log with a hole in it.
+/// Checks that the segment numbers are contiguous.
 pub(super) fn check(numbers: &[u64]) -> Result<(), Error> {
     let hole = numbers.windows(2).find(|pair| pair[0] + 1 != pair[1]);
-    hole.map_or(Ok(()), |pair| Err(Error::corrupt(&name(pair[0] + 1), 0, Damage::Missing)))
+    hole.map_or(Ok(()), |pair| Err(Error::corrupt(&name(pair[0] + 1), 0, Corruption::Missing)))
 }
 
-/// The name of the segment of that number.
+/// The file name of a segment.
 pub(super) fn name(number: u64) -> String {
     format!("{PREFIX}{number:016x}")
 }
 
-/// The numbers of all segments, in order.
+/// The numbers of all segments, in ascending order.
 pub(super) fn numbers(names: &[String]) -> Vec<u64> {
     let digits = names.iter().filter_map(|name| name.strip_prefix(PREFIX));
     let mut numbers: Vec<u64> =
--- a/src/store/snapshots.rs
+++ b/src/store/snapshots.rs
@@ -1,20 +1,21 @@
-//! Snapshots of the state machine; the last one is kept.
+//! Snapshots of the state machine; only the latest is kept.
 
-use super::Damage;
+use super::Corruption;
 use super::Disk;
 use super::Error;
 use super::frame;
 use super::frame::Frames;
 use super::frame::Salt;
-use super::identity::replace;
+use super::identity::write_atomically;
 use super::record;
 use crate::consensus::Snapshot;
 use crate::id;
 
 const PREFIX: &str = "snapshot-";
-const NEW: &str = "snapshot.new";
+const TEMPORARY_NAME: &str = "snapshot.new";
 
-/// The snapshots of one replica's folder. Apart from the log, so that a long write holds up no acknowledgement.
+/// The snapshots of a replica. Kept apart from the log so that a long write delays no
+/// acknowledgement.
 #[derive(Debug)]
 pub struct Snapshots<D> {
     disk: D,
@@ -24,7 +25,7 @@
 }
 
 impl<D: Disk> Snapshots<D> {
-    /// Finds the last snapshot, and removes older ones that a crash left.
+    /// Finds the latest snapshot and removes older ones left by a crash.
     pub(super) fn open(disk: D, id: id::Replica) -> Result<(Self, Option<Vec<u8>>), Error> {
         let names = disk.names().map_err(Error::file("."))?;
         let mut names: Vec<String> = names.into_iter().filter(|name| is_name(name)).collect();
@@ -37,18 +38,18 @@
         Ok((snapshots, Some(data)))
     }
 
-    /// What the last snapshot stands for.
+    /// The position and members of the latest snapshot.
     pub const fn last(&self) -> Option<&Snapshot> {
         self.last.as_ref()
     }
 
-    /// The last snapshot, read from the disk.
+    /// Reads the latest snapshot from the disk.
     pub fn load(&self) -> Result<Option<(Snapshot, Vec<u8>)>, Error> {
         self.last.as_ref().map(|last| self.read(&name(last))).transpose()
     }
 
-    /// Writes and syncs a snapshot, then removes the one before. Does nothing if that one is as late or later: of
-    /// an own snapshot and a leader's that are under way together, either may come last.
+    /// Persists a snapshot and removes the previous one. Does nothing if the stored one is as
+    /// recent: a local snapshot and a leader's may complete in either order.
     pub fn save(&mut self, snapshot: &Snapshot, data: &[u8]) -> Result<(), Error> {
         if self.poisoned {
             return Err(Error::Poisoned);
@@ -62,7 +63,7 @@
         let salt = self.salt(&name);
         let head = frame::encode(&record::encode(snapshot), salt);
         let body = frame::encode(data, salt);
-        replace(&mut self.disk, NEW, &name, &[&head, &body])?;
+        write_atomically(&mut self.disk, TEMPORARY_NAME, &name, &[&head, &body])?;
         self.last = Some(snapshot.clone());
         self.remove(before.as_slice())?;
         self.poisoned = false;
@@ -77,10 +78,11 @@
         let bytes = self.disk.read(name).map_err(Error::file(name))?;
         let mut frames = Frames::new(&bytes, self.salt(name));
         let mut next = || {
-            let payload = frames.next().and_then(|payload| payload.ok_or(Damage::Checksum));
-            payload.map_err(|damage| Error::corrupt(name, frames.offset(), damage))
+            let payload = frames.next().and_then(|payload| payload.ok_or(Corruption::Checksum));
+            payload.map_err(|corruption| Error::corrupt(name, frames.offset(), corruption))
         };
-        let snapshot = record::decode(next()?).map_err(|damage| Error::corrupt(name, 0, damage))?;
+        let snapshot =
+            record::decode(next()?).map_err(|corruption| Error::corrupt(name, 0, corruption))?;
         Ok((snapshot, next()?.to_vec()))
     }
 
@@ -96,5 +98,5 @@
 }
 
 pub(super) fn is_name(name: &str) -> bool {
-    name != NEW && name.starts_with(PREFIX)
+    name != TEMPORARY_NAME && name.starts_with(PREFIX)
 }
--- a/src/store/storage.rs
+++ b/src/store/storage.rs
@@ -1,4 +1,4 @@
-//! A folder that was opened: all that a replica starts from.
+//! An opened folder with all state that a replica starts from.
 
 use rand::Rng;
 
@@ -17,59 +17,60 @@
 use crate::unit::Index;
 use crate::unit::Sequence;
 
-/// The identity, the state and the files of one replica.
+/// The identity, state and files of one replica.
 #[derive(Debug)]
-pub struct Opened<D> {
+pub struct Storage<D> {
     /// The identity of the folder.
     pub id: id::Replica,
-    /// What the replica starts from.
+    /// The state from which the replica starts.
     pub restored: Restored,
-    /// The state machine as of the snapshot, if there is one.
-    pub machine: Option<Vec<u8>>,
-    /// The log, ready to be written.
+    /// The data of the latest snapshot, if there is one.
+    pub snapshot_data: Option<Vec<u8>>,
+    /// The log, open for writing.
     pub log: Log<D>,
     /// The snapshots.
     pub snapshots: Snapshots<D>,
 }
 
-impl<D: Disk> Opened<D> {
-    /// Reads a folder, and gives it an identity if it never had one.
+impl<D: Disk> Storage<D> {
+    /// Reads a folder, creating an identity if it is new.
     pub fn new(disk: D, rng: &mut impl Rng) -> Result<Self, Error> {
         Self::open(disk, rng, true)
     }
 
-    /// The same for a witness, whose log rests on positions alone, without a snapshot's data.
+    /// Opens a witness's folder, whose snapshots have no data.
     pub fn witness(disk: D, rng: &mut impl Rng) -> Result<Self, Error> {
         Self::open(disk, rng, false)
     }
 
     fn open(mut disk: D, rng: &mut impl Rng, has_data: bool) -> Result<Self, Error> {
         let id = identity::open(&mut disk, rng)?;
-        let (snapshots, machine) = Snapshots::open(disk.clone(), id)?;
+        let (snapshots, snapshot_data) = Snapshots::open(disk.clone(), id)?;
         let (mut log, mut replay) = Log::open(disk, id)?;
-        let overruled = replay
-            .fit(snapshots.last(), has_data)
-            .map_err(|damage| Error::corrupt("log", 0, damage))?;
-        if overruled {
-            log.append(&[reset(replay.floor.clone())])?;
+        let discarded = replay
+            .reconcile(snapshots.last(), has_data)
+            .map_err(|corruption| Error::corrupt("log", 0, corruption))?;
+        if discarded {
+            log.append(&[reset(replay.base.clone())])?;
         }
         let restored = Restored::new(Members::default())
             .with_hard(replay.hard)
-            .with_snapshot(replay.floor)
+            .with_snapshot(replay.base)
             .with_log(replay.entries);
-        Ok(Self { id, restored, machine, log, snapshots })
+        Ok(Self { id, restored, snapshot_data, log, snapshots })
     }
 
-    /// Whether this replica has never taken part in any group.
-    pub fn is_pristine(&self) -> bool {
+    /// Whether this replica has never belonged to a group.
+    pub fn is_empty(&self) -> bool {
         self.restored.hard == HardState::default()
             && self.restored.snapshot == Snapshot::default()
             && self.restored.log.is_empty()
     }
 
-    /// Begins a new group; each first member begins with the same list. Does nothing in a folder with a past.
+    /// Bootstraps a new group; all initial members must use the same list. Does nothing if the
+    /// folder has any state.
     pub fn bootstrap(&mut self, members: Members) -> Result<(), Error> {
-        if !self.is_pristine() {
+        if !self.is_empty() {
             return Ok(());
         }
         let snapshot = Snapshot { position: Position::default(), members };
@@ -79,7 +80,7 @@
     }
 }
 
-/// A write that starts the log again after a snapshot.
+/// A write that resets the log to a snapshot.
 fn reset(snapshot: Snapshot) -> Persist {
     let truncate: Option<Index> = None;
     Persist {
--- a/src/store/tests/faulty.rs
+++ b/src/store/tests/faulty.rs
@@ -1,4 +1,4 @@
-//! A disk that crashes, tears, loses and fills up on demand.
+//! A simulated disk with fault injection.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -11,43 +11,43 @@
 
 use super::super::Disk;
 
-/// What goes wrong at one call.
+/// The fault injected at a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// The process is gone: this call and all later ones fail, and a write is left half done.
+    /// The process dies: this call and all later ones fail, and a write is left incomplete.
     Crash,
-    /// The disk is full: a write is left half done.
+    /// The disk is full: a write is left incomplete.
     Full,
     /// The sync fails, and the kernel drops the pages: reads see the bytes, the disk never gets them.
     Sync,
 }
 
-/// What a power loss does to bytes that were written and not synced.
+/// What a power loss does to unsynced bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Loss {
-    /// All of them happen to be on the disk.
+    /// All of them are on the disk.
     Nothing,
-    /// None is.
+    /// None of them is.
     All,
-    /// The first half is.
+    /// Only the first half of them is.
     Tail,
-    /// The file is as long as it was, and the second half is zeros.
+    /// The file keeps its length and the second half of them is zeros.
     Zeros,
-    /// The file is as long as it was, and the first half is garbage.
+    /// The file keeps its length and the first half of them is garbage.
     Garbage,
 }
 
 #[derive(Debug, Clone, Default)]
 struct File {
     bytes: Vec<u8>,
-    /// What lasts: the bytes up to here.
+    /// The length of the durable bytes.
     synced: usize,
-    /// From here on the kernel has dropped pages, and no sync writes them any more.
+    /// The offset from which the kernel has dropped pages that no sync writes any more.
     dropped: Option<usize>,
 }
 
 #[derive(Debug, Clone, Copy)]
-enum Naming {
+enum NameChange {
     Make(u64),
     Rename,
     Remove,
@@ -58,38 +58,39 @@
     files: BTreeMap<u64, File>,
     names: BTreeMap<String, u64>,
     synced_names: BTreeMap<String, u64>,
-    /// Changes of names that were not synced: what, from, to.
-    pending: Vec<(Naming, String, String)>,
+    /// Unsynced changes of names: the change, the name and the new name.
+    pending: Vec<(NameChange, String, String)>,
     next: u64,
     calls: u64,
     fault: Option<(u64, Fault)>,
     crashed: bool,
 }
 
-/// A model of a file system; clones are the same disk.
+/// A simulated file system; clones share the same disk.
 #[derive(Debug, Clone, Default)]
-pub struct Faulty(Arc<Mutex<State>>);
+pub struct FaultyDisk(Arc<Mutex<State>>);
 
-impl Faulty {
-    /// Lets a fault happen at the call after so many.
+impl FaultyDisk {
+    /// Injects a fault after that many calls.
     pub fn arm(&self, after: u64, fault: Fault) {
         let mut state = self.state();
         state.fault = Some((state.calls + after, fault));
     }
 
-    /// How many changing calls there were.
+    /// The number of modifying calls so far.
     pub fn calls(&self) -> u64 {
         self.state().calls
     }
 
-    /// The process starts again; nothing is lost.
+    /// Restarts the process without losing data.
     pub fn restart(&self) {
         let mut state = self.state();
         state.crashed = false;
         state.fault = None;
     }
 
-    /// The VM loses power and starts again. Names change in order, as in a file system with a journal.
+    /// Simulates a power loss and restart. Name changes are kept in order, as in a journaling file
+    /// system.
     pub fn lose_power(&self, loss: Loss, rng: &mut SmallRng) {
         self.restart();
         let mut state = self.state();
@@ -99,15 +100,15 @@
             _ => rng.random_range(0..=state.pending.len()),
         };
         let mut names = state.synced_names.clone();
-        for (naming, from, to) in state.pending.drain(..).take(kept) {
-            apply(&mut names, naming, &from, &to);
+        for (change, from, to) in state.pending.drain(..).take(kept) {
+            apply(&mut names, change, &from, &to);
         }
         state.names = names.clone();
         state.synced_names = names;
         state.files.values_mut().for_each(|file| lose(file, loss));
     }
 
-    /// Changes one byte, as a failing disk does.
+    /// Corrupts one byte.
     pub fn flip(&self, name: &str, at: usize) {
         let mut state = self.state();
         let number = state.names[name];
@@ -118,8 +119,8 @@
         self.0.lock().expect("no panic while locked")
     }
 
-    /// Counts a call and tells what goes wrong with it.
-    fn call(state: &mut State) -> io::Result<Option<Fault>> {
+    /// Counts a call and returns the fault to inject in it.
+    fn count_call(state: &mut State) -> io::Result<Option<Fault>> {
         if state.crashed {
             return Err(io::Error::other("the process is gone"));
         }
@@ -130,22 +131,22 @@
         Ok(fault)
     }
 
-    fn name(&self, naming: Naming, from: &str, to: &str) -> io::Result<()> {
+    fn change_name(&self, change: NameChange, from: &str, to: &str) -> io::Result<()> {
         let mut state = self.state();
-        if Self::call(&mut state)?.is_some() {
+        if Self::count_call(&mut state)?.is_some() {
             return Err(io::Error::other("fault"));
         }
-        apply(&mut state.names, naming, from, to);
-        state.pending.push((naming, from.to_string(), to.to_string()));
+        apply(&mut state.names, change, from, to);
+        state.pending.push((change, from.to_string(), to.to_string()));
         Ok(())
     }
 }
 
-fn apply(names: &mut BTreeMap<String, u64>, naming: Naming, from: &str, to: &str) {
-    match naming {
-        Naming::Make(number) => drop(names.insert(from.to_string(), number)),
-        Naming::Remove => drop(names.remove(from)),
-        Naming::Rename => {
+fn apply(names: &mut BTreeMap<String, u64>, change: NameChange, from: &str, to: &str) {
+    match change {
+        NameChange::Make(number) => drop(names.insert(from.to_string(), number)),
+        NameChange::Remove => drop(names.remove(from)),
+        NameChange::Rename => {
             let number = names.remove(from).expect("names change in order");
             names.insert(to.to_string(), number);
         }
@@ -168,7 +169,7 @@
     file.synced = file.bytes.len();
 }
 
-impl Disk for Faulty {
+impl Disk for FaultyDisk {
     fn names(&self) -> io::Result<Vec<String>> {
         Ok(self.state().names.keys().cloned().collect())
     }
@@ -181,12 +182,12 @@
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let mut state = self.state();
-        let fault = Self::call(&mut state)?;
+        let fault = Self::count_call(&mut state)?;
         let number = state.names.get(name).copied().unwrap_or(state.next);
         if number == state.next {
             state.next += 1;
             state.names.insert(name.to_string(), number);
-            state.pending.push((Naming::Make(number), name.to_string(), String::new()));
+            state.pending.push((NameChange::Make(number), name.to_string(), String::new()));
         }
         let written = if fault.is_some() { &bytes[..bytes.len() / 2] } else { bytes };
         state.files.entry(number).or_default().bytes.extend_from_slice(written);
@@ -195,7 +196,7 @@
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
         let mut state = self.state();
-        let fault = Self::call(&mut state)?;
+        let fault = Self::count_call(&mut state)?;
         let number = *state.names.get(name).ok_or(io::ErrorKind::NotFound)?;
         let file = state.files.entry(number).or_default();
         if fault.is_some() {
@@ -209,16 +210,16 @@
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        self.name(Naming::Rename, from, to)
+        self.change_name(NameChange::Rename, from, to)
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.name(Naming::Remove, name, "")
+        self.change_name(NameChange::Remove, name, "")
     }
 
     fn sync_folder(&mut self) -> io::Result<()> {
         let mut state = self.state();
-        if Self::call(&mut state)?.is_some() {
+        if Self::count_call(&mut state)?.is_some() {
             return Err(io::Error::other("fault"));
         }
         state.pending.clear();
--- a/src/store/tests/fuzz.rs
+++ b/src/store/tests/fuzz.rs
@@ -1,4 +1,4 @@
-//! The store under crashes, torn and dropped bytes, a full disk and failed syncs.
+//! Property tests of the store under crashes, torn and dropped bytes, a full disk and failed syncs.
 
 use proptest::prelude::Just;
 use proptest::prelude::Strategy;
@@ -11,22 +11,23 @@
 
 use super::faulty::Fault;
 use super::faulty::Loss;
-use super::script::Act;
-use super::script::Script;
+use super::workload::Operation;
+use super::workload::Workload;
 use crate::fuzz;
 
 #[derive(Debug, Clone)]
 enum Transition {
-    Act(Act),
-    /// A fault happens so many calls later.
+    Operation(Operation),
+    /// Injects a fault after that many calls.
     Arm(u64, Fault),
-    /// The process is killed and starts again.
+    /// Kills and restarts the process.
     Kill,
-    /// The VM loses power and starts again.
+    /// Simulates a power loss and restart.
     PowerLoss(Loss),
 }
 
-/// What the store must hold depends on where the fault falls, so the script keeps the oracle.
+/// The expected state depends on where the fault occurs, so the workload tracks it instead of the
+/// reference model.
 #[derive(Debug, Clone)]
 struct Plan;
 
@@ -42,10 +43,10 @@
         let faults = select(vec![Fault::Crash, Fault::Full, Fault::Sync]);
         let losses = select(vec![Loss::Nothing, Loss::All, Loss::Tail, Loss::Zeros, Loss::Garbage]);
         prop_oneof![
-            5 => (0_u64..9, 0_u64..4).prop_map(|(count, overruled)| Act::Append { count, overruled }).prop_map(Transition::Act),
-            1 => Just(Transition::Act(Act::Vote)),
-            2 => (0_u64..4).prop_map(|kept| Transition::Act(Act::Snapshot { kept })),
-            1 => (-4_i64..4).prop_map(|ahead| Transition::Act(Act::Install { ahead })),
+            5 => (0_u64..9, 0_u64..4).prop_map(|(count, replaced)| Operation::Append { count, replaced }).prop_map(Transition::Operation),
+            1 => Just(Transition::Operation(Operation::Vote)),
+            2 => (0_u64..4).prop_map(|kept| Transition::Operation(Operation::Snapshot { kept })),
+            1 => (-4_i64..4).prop_map(|ahead| Transition::Operation(Operation::Install { ahead })),
             2 => (0_u64..14, faults).prop_map(|(after, fault)| Transition::Arm(after, fault)),
             1 => Just(Transition::Kill),
             2 => losses.prop_map(Transition::PowerLoss),
@@ -61,38 +62,38 @@
 struct System;
 
 impl StateMachineTest for System {
-    type SystemUnderTest = Script;
+    type SystemUnderTest = Workload;
     type Reference = Plan;
 
-    fn init_test(_: &Plan) -> Script {
-        Script::new(7)
+    fn init_test(_: &Plan) -> Workload {
+        Workload::new(7)
     }
 
-    fn apply(mut script: Script, _: &Plan, transition: Transition) -> Script {
+    fn apply(mut workload: Workload, _: &Plan, transition: Transition) -> Workload {
         match transition {
-            Transition::Arm(after, fault) => script.disk.arm(after, fault),
+            Transition::Arm(after, fault) => workload.disk.arm(after, fault),
             Transition::Kill => {
-                script.opened = None;
-                script.disk.restart();
+                workload.opened = None;
+                workload.disk.restart();
             }
             Transition::PowerLoss(loss) => {
-                script.opened = None;
-                script.disk.lose_power(loss, &mut script.rng.clone());
+                workload.opened = None;
+                workload.disk.lose_power(loss, &mut workload.rng.clone());
             }
-            Transition::Act(act) => {
-                // A failed start or act leaves the store closed until the next kill or power loss.
-                if script.opened.is_some() || script.open().is_ok() {
-                    script.act(act).unwrap_or_default();
+            Transition::Operation(operation) => {
+                // After a failure the store stays closed until the next kill or power loss.
+                if workload.opened.is_some() || workload.open().is_ok() {
+                    workload.run(operation).unwrap_or_default();
                 }
             }
         }
-        script
+        workload
     }
 
-    fn teardown(mut script: Script) {
-        script.opened = None;
-        script.disk.lose_power(Loss::All, &mut script.rng.clone());
-        script.open().expect("nothing unsynced was needed");
+    fn teardown(mut workload: Workload) {
+        workload.opened = None;
+        workload.disk.lose_power(Loss::All, &mut workload.rng.clone());
+        workload.open().expect("nothing unsynced was needed");
     }
 }
 
--- a/src/store/tests/golden.rs
+++ b/src/store/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Pins the files of a replica: a log or an identity of an older version must stay readable.
+//! Golden tests of the file formats, which must stay readable by later versions.
 
 use crate::golden;
 use crate::store::frame;
--- a/src/store/tests/workload.rs
+++ b/src/store/tests/workload.rs
@@ -1,12 +1,12 @@
-//! A store under test, and what it has acknowledged.
+//! A store under test and its expected state.
 
 use bytes::Bytes;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
 use super::super::Error;
-use super::super::Opened;
-use super::faulty::Faulty;
+use super::super::Storage;
+use super::faulty::FaultyDisk;
 use crate::consensus::Entry;
 use crate::consensus::HardState;
 use crate::consensus::Members;
@@ -19,24 +19,24 @@
 use crate::unit::Sequence;
 use crate::unit::Term;
 
-/// Small, so that a short script closes several segments.
+/// Small enough for a short workload to close several segments.
 const SEGMENT_BYTES: usize = 300;
 
-/// One thing that a driver does with its store.
+/// An operation of the store's driver.
 #[derive(Debug, Clone, Copy)]
-pub enum Act {
-    /// Entries are appended, after the last few were overruled by a new term.
-    Append { count: u64, overruled: u64 },
-    /// A vote in a new term.
+pub enum Operation {
+    /// Appends entries, replacing the last few in a new term.
+    Append { count: u64, replaced: u64 },
+    /// Votes in a new term.
     Vote,
-    /// A snapshot of all there is, and the log is compacted up to a few entries.
+    /// Takes a snapshot of all entries and compacts the log except for a tail.
     Snapshot { kept: u64 },
-    /// A leader's snapshot arrives, so far ahead of the log's end, and overrules what the log has; the log starts
-    /// again after it.
+    /// Installs a leader's snapshot at an offset from the end of the log, which conflicts with the
+    /// log and resets it.
     Install { ahead: i64 },
 }
 
-/// The state that a store must give back.
+/// The state that the store must recover.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct State {
     pub hard: HardState,
@@ -51,30 +51,30 @@
         last.get().max(self.snapshot.position.index.get())
     }
 
-    /// The entries after the snapshot: those before it may be gone or not.
-    pub fn essence(&self) -> Self {
+    /// The state without entries covered by the snapshot, which may or may not be present.
+    pub fn uncompacted(&self) -> Self {
         let kept = |entry: &&Entry| entry.index() > self.snapshot.position.index;
         Self { entries: self.entries.iter().filter(kept).cloned().collect(), ..self.clone() }
     }
 }
 
-/// A store, what it acknowledged, and what it may have besides.
+/// A store with its acknowledged state and the alternatives after a failure.
 #[derive(Debug)]
-pub struct Script {
-    pub disk: Faulty,
+pub struct Workload {
+    pub disk: FaultyDisk,
     pub rng: SmallRng,
-    pub opened: Option<Opened<Faulty>>,
+    pub opened: Option<Storage<FaultyDisk>>,
     pub acknowledged: State,
-    /// States that the interrupted act may have left instead.
+    /// States that an interrupted operation may have left instead.
     pub possible: Vec<State>,
     pub id: Option<id::Replica>,
     term: u64,
 }
 
-impl Script {
+impl Workload {
     pub fn new(seed: u64) -> Self {
         Self {
-            disk: Faulty::default(),
+            disk: FaultyDisk::default(),
             rng: SmallRng::seed_from_u64(seed),
             opened: None,
             acknowledged: State::default(),
@@ -84,24 +84,25 @@
         }
     }
 
-    /// Opens the folder and checks that it holds what was acknowledged; fails only where the disk does.
+    /// Opens the folder and checks that it holds the acknowledged state; fails only if the disk
+    /// does.
     pub fn open(&mut self) -> Result<(), Error> {
-        let mut opened = Opened::new(self.disk.clone(), &mut self.rng)?;
+        let mut opened = Storage::new(self.disk.clone(), &mut self.rng)?;
         opened.log = opened.log.with_segment_bytes(SEGMENT_BYTES);
         let expected = *self.id.get_or_insert(opened.id);
         assert_eq!(opened.id, expected, "the folder's identity changed");
         let state = State {
             hard: opened.restored.hard,
             snapshot: opened.restored.snapshot.clone(),
-            data: opened.machine.clone(),
+            data: opened.snapshot_data.clone(),
             entries: opened.restored.log.clone(),
         };
-        let found = state.essence();
-        let matches = |known: &&State| known.essence() == found;
+        let found = state.uncompacted();
+        let matches = |known: &&State| known.uncompacted() == found;
         assert!(
             [&self.acknowledged].into_iter().chain(&self.possible).any(|known| matches(&known)),
             "found {found:#?}\nacknowledged {:#?}\nor {:#?}",
-            self.acknowledged.essence(),
+            self.acknowledged.uncompacted(),
             self.possible
         );
         self.acknowledged = state;
@@ -110,13 +111,13 @@
         Ok(())
     }
 
-    /// Carries an act out. After a failure the store must be closed to everything.
-    pub fn act(&mut self, act: Act) -> Result<(), Error> {
-        let result = match act {
-            Act::Append { count, overruled } => self.append(count, overruled),
-            Act::Vote => self.vote(),
-            Act::Snapshot { kept } => self.snapshot(kept),
-            Act::Install { ahead } => self.install(ahead),
+    /// Runs an operation. After a failure the store must refuse all writes.
+    pub fn run(&mut self, operation: Operation) -> Result<(), Error> {
+        let result = match operation {
+            Operation::Append { count, replaced } => self.append(count, replaced),
+            Operation::Vote => self.vote(),
+            Operation::Snapshot { kept } => self.snapshot(kept),
+            Operation::Install { ahead } => self.install(ahead),
         };
         if result.is_err() {
             self.opened = None;
@@ -137,11 +138,11 @@
         Ok(())
     }
 
-    fn append(&mut self, count: u64, overruled: u64) -> Result<(), Error> {
-        self.term += u64::from(overruled > 0);
+    fn append(&mut self, count: u64, replaced: u64) -> Result<(), Error> {
+        self.term += u64::from(replaced > 0);
         let snapshot = self.acknowledged.snapshot.position.index.get();
         let last = self.acknowledged.last();
-        let from = last.saturating_sub(overruled).max(snapshot) + 1;
+        let from = last.saturating_sub(replaced).max(snapshot) + 1;
         let truncate = (from <= last).then_some(Index::new(from));
         let entries: Vec<Entry> =
             (from..from + count).map(|index| entry(index, self.term)).collect();
@@ -219,7 +220,7 @@
     }
 }
 
-/// An entry whose length differs from its neighbours'.
+/// An entry whose length differs from those of its neighbours.
 pub fn entry(index: u64, term: u64) -> Entry {
     let data = vec![b'x'; usize::try_from(index % 7 * 5).expect("short")];
     Entry::new(Position::new(Index::new(index), Term::new(term)), Payload::Data(Bytes::from(data)))
