--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request goes to one upstream or VM, and the head of the answer decides what it is worth.
+//! Sends a request once to an upstream or VM and classifies the response by its head.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,148 +16,148 @@
 use tokio::time;
 use tokio::time::Instant;
 
-use super::Hub;
-use super::adapter::Answer;
-use super::adapter::Instructions;
-use super::claim::Claim;
-use super::claim::Target;
+use super::State;
+use super::adapter::AttemptMeta;
+use super::adapter::ResponseMeta;
 use super::headers;
 use super::relay::Job;
+use super::reservation::Reservation;
+use super::reservation::Target;
 use crate::decide::place::Outcome;
 use crate::decide::place::Outlook;
 use crate::http::client::Error;
 use crate::http::client::Lease;
 use crate::id;
 
-/// A region that refuses and tells no outlook has no upstream that could take the request; what it tells counts for
-/// seconds, in which others are asked first.
-const NO_ROOM: Outlook = Outlook { wait: Duration::from_secs(1), running: 0 };
+/// Assumed for a region that refuses without reporting an outlook, so that other regions are
+/// preferred for the next seconds.
+const REJECTED_OUTLOOK: Outlook = Outlook { wait: Duration::from_secs(1), running: 0 };
 
-/// How an attempt ended.
-pub enum Ended {
-    /// Surely not run.
-    NotRun {
-        /// Why.
-        why: &'static str,
-        /// When the other side wants the request back.
+/// The result of an attempt.
+pub enum AttemptResult {
+    /// The request was not executed and may be retried.
+    NotExecuted {
+        /// The cause, for the log.
+        reason: &'static str,
+        /// The delay before a retry that the other side asked for.
         retry_after: Option<Duration>,
-        /// How far it came.
-        at: NotRunAt,
+        /// How far the request got.
+        stage: Stage,
     },
-    /// It may have run, and there is no answer that can be passed on.
-    MayHaveRun {
-        /// Why.
-        why: &'static str,
+    /// The request may have been executed, but no usable response was received.
+    Indeterminate {
+        /// The cause, for the log and the refusal.
+        reason: &'static str,
     },
-    /// An upstream's answer.
-    Answered(Box<Opened>),
+    /// A response from an upstream.
+    Response(Box<OpenResponse>),
 }
 
-/// How far a request came that did not run.
-pub enum NotRunAt {
-    /// No byte of it left.
-    Nowhere,
+/// How far a request got that was not executed.
+pub enum Stage {
+    /// Nothing was sent.
+    NotSent,
     /// An upstream refused it.
     Upstream,
-    /// A region refused it.
+    /// A VM of another region refused it.
     Region {
-        /// Which.
+        /// The region.
         region: id::Region,
-        /// Whether one of its upstreams had it and refused it.
-        arrived: bool,
+        /// Whether it had reached an upstream of that region.
+        reached_upstream: bool,
     },
 }
 
-/// What holds for one attempt.
-pub struct Terms<'a> {
-    /// How long the head of the answer is waited for.
-    pub patience: Duration,
-    /// The last event that the caller has, where the answer is to go on after it.
+/// Options of one attempt.
+pub struct Options<'a> {
+    /// Timeout for the head of the response.
+    pub response_timeout: Duration,
+    /// The id of the last event delivered, when a stream is resumed.
     pub resume_after: Option<&'a str>,
-    /// Whether the request may have arrived at an upstream before.
-    pub is_repeat: bool,
+    /// Whether the request may have reached an upstream before.
+    pub is_retry: bool,
 }
 
-/// An answer that has begun.
-pub struct Opened {
-    /// Its head, without what concerns the connection.
+/// A response whose head has been received.
+pub struct OpenResponse {
+    /// The head, without hop-by-hop headers.
     pub head: response::Parts,
-    /// Its body.
-    pub content: Content,
+    /// The body.
+    pub body: ResponseBody,
 }
 
-/// The body of an answer.
-pub enum Content {
-    /// All of it.
-    Whole(Bytes),
-    /// A stream that goes on.
-    Stream(Box<Source>),
+/// The body of a response.
+pub enum ResponseBody {
+    /// A complete body.
+    Buffered(Bytes),
+    /// A body that is streamed.
+    Streaming(Box<UpstreamStream>),
 }
 
-/// A stream of an upstream.
-pub struct Source {
-    /// What comes.
+/// A response body streamed by an upstream.
+pub struct UpstreamStream {
+    /// The unread part of the body.
     pub incoming: Incoming,
-    /// Its place.
-    pub claim: Claim,
+    /// The capacity reserved for the request.
+    pub reservation: Reservation,
     lease: Lease,
-    idle: Option<Duration>,
-    closes: bool,
+    idle_timeout: Option<Duration>,
+    closes_connection: bool,
 }
 
-impl Source {
-    /// The stream has ended whole: the connection can be used again.
-    pub fn finish(self, hub: &Hub) {
-        self.claim.end(Outcome::Answered);
-        keep(hub, self.lease, self.idle, self.closes);
+impl UpstreamStream {
+    /// Ends a complete stream and returns its connection to the pool.
+    pub fn finish(self, state: &State) {
+        self.reservation.complete(Outcome::Answered);
+        release(state, self.lease, self.idle_timeout, self.closes_connection);
     }
 
-    /// The stream broke off.
+    /// Ends a failed stream; its connection is dropped.
     pub fn fail(self) {
-        self.claim.end(Outcome::Failed);
+        self.reservation.complete(Outcome::Failed);
     }
 }
 
-/// Makes one attempt, and waits for the head of the answer for so long.
+/// Sends the request and waits for the head of the response.
 pub async fn run(
-    hub: &Hub,
+    state: &State,
     job: &Job,
-    (claim, address): (Claim, SocketAddr),
-    terms: &Terms<'_>,
-) -> Ended {
-    let request = match build(hub, job, claim.target(), terms) {
+    (reservation, address): (Reservation, SocketAddr),
+    options: &Options<'_>,
+) -> AttemptResult {
+    let request = match build(state, job, reservation.target(), options) {
         Ok(request) => request,
-        Err(_) => return not_sent("it can't be written"),
+        Err(_) => return not_sent("the request headers can't be encoded"),
     };
-    let sent = time::timeout(terms.patience, hub.client().send(address, request)).await;
+    let sent = time::timeout(options.response_timeout, state.client().send(address, request)).await;
     let (response, lease) = match sent {
         Ok(Ok(sent)) => sent,
         Ok(Err(Error::Unsent(_))) => {
-            claim.end(Outcome::Unreachable);
-            return not_sent("it can't be reached");
+            reservation.complete(Outcome::Unreachable);
+            return not_sent("the connection could not be established");
         }
         Ok(Err(Error::Lost(_))) => {
-            claim.end(Outcome::Failed);
-            return Ended::MayHaveRun { why: "the connection broke off" };
+            reservation.complete(Outcome::Failed);
+            return AttemptResult::Indeterminate { reason: "the connection broke off" };
         }
         Err(_) => {
-            claim.end(Outcome::Failed);
-            return Ended::MayHaveRun { why: "no answer began in time" };
+            reservation.complete(Outcome::Failed);
+            return AttemptResult::Indeterminate { reason: "no answer began in time" };
         }
     };
-    let answer = hub.adapter().answer(response.status(), response.headers());
-    judge(hub, job, response, lease, claim, answer).await
+    let meta = state.adapter().decode_response(response.status(), response.headers());
+    classify(state, job, response, lease, reservation, meta).await
 }
 
-fn not_sent(why: &'static str) -> Ended {
-    Ended::NotRun { why, retry_after: None, at: NotRunAt::Nowhere }
+fn not_sent(reason: &'static str) -> AttemptResult {
+    AttemptResult::NotExecuted { reason, retry_after: None, stage: Stage::NotSent }
 }
 
 fn build(
-    hub: &Hub,
+    state: &State,
     job: &Job,
     target: &Target,
-    terms: &Terms<'_>,
+    options: &Options<'_>,
 ) -> Result<Request<Full<Bytes>>, http::Error> {
     let call = &job.call;
     let mut request = Request::builder()
@@ -169,124 +169,147 @@
         Target::Upstream(upstream) => Some(upstream),
         Target::Vm(..) => None,
     };
-    let left = job.deadline.saturating_duration_since(Instant::now());
-    let resume_after = terms.resume_after;
+    let remaining = job.deadline.saturating_duration_since(Instant::now());
+    let resume_after = options.resume_after;
     let organisation = job.caller.name().filter(|_| upstream.is_some());
-    let instructions = Instructions { left, upstream, rank: job.rank, organisation, resume_after };
-    hub.adapter().instruct(&instructions, request.headers_mut());
+    let meta = AttemptMeta { remaining, upstream, rank: job.rank, organisation, resume_after };
+    state.adapter().encode_attempt(&meta, request.headers_mut());
     if upstream.is_none() {
-        tell_vm(job, terms, request.headers_mut())?;
+        add_forwarding_headers(job, options, request.headers_mut())?;
     }
     Ok(request)
 }
 
-/// Tells another VM what only VMs tell each other.
-fn tell_vm(job: &Job, terms: &Terms<'_>, told: &mut HeaderMap) -> Result<(), http::Error> {
-    if terms.is_repeat {
-        told.insert(headers::REPEAT, HeaderValue::from_static("1"));
+/// Adds the headers that are exchanged between VMs only.
+fn add_forwarding_headers(
+    job: &Job,
+    options: &Options<'_>,
+    headers: &mut HeaderMap,
+) -> Result<(), http::Error> {
+    if options.is_retry {
+        headers.insert(headers::RETRY, HeaderValue::from_static("1"));
     }
     if let Some(name) = job.caller.name() {
-        told.insert(headers::ORGANISATION, HeaderValue::from_str(name.as_str())?);
+        headers.insert(headers::ORGANISATION, HeaderValue::from_str(name.as_str())?);
     }
     Ok(())
 }
 
-/// Decides what an answer is worth by its head, and reads it whole unless it is a stream.
-async fn judge(
-    hub: &Hub,
+/// Classifies a response by its head and buffers its body unless it is streamed.
+async fn classify(
+    state: &State,
     job: &Job,
     response: Response<Incoming>,
     lease: Lease,
-    claim: Claim,
-    answer: Answer,
-) -> Ended {
-    match claim.target() {
+    reservation: Reservation,
+    meta: ResponseMeta,
+) -> AttemptResult {
+    match reservation.target() {
         Target::Upstream(upstream) => {
-            if let Some(load) = answer.load {
-                hub.place().reported(upstream, load, Instant::now());
+            if let Some(load) = meta.load {
+                state.place().reported(upstream, load, Instant::now());
             }
         }
-        Target::Vm(region, _) => note_outlook(hub, region, job, &response),
+        Target::Vm(region, _) => record_outlook(state, region, job, &response),
     }
-    // Failure: an answer comes late on a connection that carries another request by now, and a caller reads somebody
-    // else's mandates. The echoed id is compared before any byte is passed on.
-    if answer.request.as_ref().is_some_and(|id| *id != job.call.id) {
-        claim.end(Outcome::Failed);
-        return Ended::MayHaveRun { why: "the answer belongs to another request" };
+    // Guards against a late response on a reused connection, which would deliver another caller's
+    // data.
+    if meta.request_id.as_ref().is_some_and(|id| *id != job.call.id) {
+        reservation.complete(Outcome::Failed);
+        return AttemptResult::Indeterminate { reason: "the answer belongs to another request" };
     }
-    if answer.is_not_run || is_refusal_of_vm(&claim, &answer, response.status()) {
-        let is_gone = answer.is_misdirected;
-        let at = match claim.target() {
-            Target::Upstream(_) => NotRunAt::Upstream,
-            Target::Vm(region, _) => NotRunAt::Region {
+    if meta.is_not_executed || is_vm_refusal(&reservation, &meta, response.status()) {
+        let is_misdirected = meta.is_misdirected;
+        let stage = match reservation.target() {
+            Target::Upstream(_) => Stage::Upstream,
+            Target::Vm(region, _) => Stage::Region {
                 region: region.clone(),
-                arrived: response.headers().contains_key(headers::ARRIVED),
+                reached_upstream: response.headers().contains_key(headers::REACHED_UPSTREAM),
             },
         };
-        claim.end(if is_gone { Outcome::Unreachable } else { Outcome::Refused });
-        reuse_after_body(hub, response, lease, &answer).await;
-        return Ended::NotRun { why: "it was refused", retry_after: answer.retry_after, at };
+        reservation.complete(if is_misdirected { Outcome::Unreachable } else { Outcome::Refused });
+        drain_refusal_body(state, response, lease, &meta).await;
+        return AttemptResult::NotExecuted {
+            reason: "it was refused",
+            retry_after: meta.retry_after,
+            stage,
+        };
     }
-    if !answer.is_receipted {
-        claim.end(Outcome::Failed);
-        return Ended::MayHaveRun { why: "the answer has no receipt" };
+    if !meta.has_receipt {
+        reservation.complete(Outcome::Failed);
+        return AttemptResult::Indeterminate { reason: "the answer has no receipt" };
     }
-    read(hub, job, response, lease, claim, &answer).await
+    read_body(state, job, response, lease, reservation, &meta).await
 }
 
-/// Another VM refuses with a status of its own; upstreams' answers that it passes on have a receipt.
-fn is_refusal_of_vm(claim: &Claim, answer: &Answer, status: StatusCode) -> bool {
-    let is_vm = matches!(claim.target(), Target::Vm(..));
-    let promises = [StatusCode::SERVICE_UNAVAILABLE, StatusCode::TOO_MANY_REQUESTS];
-    is_vm && !answer.is_receipted && promises.contains(&status)
+/// A VM's own refusal has no receipt; a forwarded response of an upstream has one.
+fn is_vm_refusal(reservation: &Reservation, meta: &ResponseMeta, status: StatusCode) -> bool {
+    let is_vm = matches!(reservation.target(), Target::Vm(..));
+    let refusals = [StatusCode::SERVICE_UNAVAILABLE, StatusCode::TOO_MANY_REQUESTS];
+    is_vm && !meta.has_receipt && refusals.contains(&status)
 }
 
-fn note_outlook(hub: &Hub, region: &id::Region, job: &Job, response: &Response<Incoming>) {
+fn record_outlook(state: &State, region: &id::Region, job: &Job, response: &Response<Incoming>) {
     let refuses = response.status() == StatusCode::SERVICE_UNAVAILABLE;
-    let outlook = headers::outlook(response.headers()).or(refuses.then_some(NO_ROOM));
+    let outlook =
+        headers::parse_outlook(response.headers()).or(refuses.then_some(REJECTED_OUTLOOK));
     if let Some(outlook) = outlook {
         let about = (job.service.as_str(), job.urgent);
-        hub.regions().told(region, about, outlook, Instant::now());
+        state.regions().told(region, about, outlook, Instant::now());
     }
 }
 
-async fn read(
-    hub: &Hub,
+async fn read_body(
+    state: &State,
     job: &Job,
     response: Response<Incoming>,
     lease: Lease,
-    mut claim: Claim,
-    answer: &Answer,
-) -> Ended {
+    mut reservation: Reservation,
+    meta: &ResponseMeta,
+) -> AttemptResult {
     let (mut head, incoming) = response.into_parts();
-    headers::strip(&mut head.headers);
-    let (idle, closes) = (answer.idle, answer.closes);
+    headers::strip_hop_by_hop(&mut head.headers);
+    let (idle_timeout, closes_connection) = (meta.idle_timeout, meta.closes_connection);
     if job.route.kind.is_stream() && head.status.is_success() {
-        let content = Content::Stream(Box::new(Source { incoming, claim, lease, idle, closes }));
-        return Ended::Answered(Box::new(Opened { head, content }));
+        let body = ResponseBody::Streaming(Box::new(UpstreamStream {
+            incoming,
+            reservation,
+            lease,
+            idle_timeout,
+            closes_connection,
+        }));
+        return AttemptResult::Response(Box::new(OpenResponse { head, body }));
     }
-    let whole = time::timeout_at(job.deadline, incoming.collect()).await;
-    let Ok(Ok(whole)) = whole else {
-        claim.end(Outcome::Failed);
-        return Ended::MayHaveRun { why: "the answer broke off" };
+    let collected = time::timeout_at(job.deadline, incoming.collect()).await;
+    let Ok(Ok(collected)) = collected else {
+        reservation.complete(Outcome::Failed);
+        return AttemptResult::Indeterminate { reason: "the answer broke off" };
     };
-    claim.event();
+    reservation.record_event();
     let is_error = head.status.is_server_error();
-    claim.end(if is_error { Outcome::Error } else { Outcome::Answered });
-    keep(hub, lease, idle, closes);
-    Ended::Answered(Box::new(Opened { head, content: Content::Whole(whole.to_bytes()) }))
+    reservation.complete(if is_error { Outcome::Error } else { Outcome::Answered });
+    release(state, lease, idle_timeout, closes_connection);
+    AttemptResult::Response(Box::new(OpenResponse {
+        head,
+        body: ResponseBody::Buffered(collected.to_bytes()),
+    }))
 }
 
-/// The body of a refusal is short; it is read so that the connection can be used again.
-async fn reuse_after_body(hub: &Hub, response: Response<Incoming>, lease: Lease, answer: &Answer) {
-    const MOMENT: Duration = Duration::from_millis(20);
-    if let Ok(Ok(_)) = time::timeout(MOMENT, response.into_body().collect()).await {
-        keep(hub, lease, answer.idle, answer.closes);
+/// Reads the short body of a refusal so that the connection can be reused.
+async fn drain_refusal_body(
+    state: &State,
+    response: Response<Incoming>,
+    lease: Lease,
+    meta: &ResponseMeta,
+) {
+    const DRAIN_TIMEOUT: Duration = Duration::from_millis(20);
+    if let Ok(Ok(_)) = time::timeout(DRAIN_TIMEOUT, response.into_body().collect()).await {
+        release(state, lease, meta.idle_timeout, meta.closes_connection);
     }
 }
 
-fn keep(hub: &Hub, lease: Lease, idle: Option<Duration>, closes: bool) {
-    if !closes {
-        hub.client().keep_for(lease, idle.unwrap_or(Duration::MAX));
+fn release(state: &State, lease: Lease, idle_timeout: Option<Duration>, closes_connection: bool) {
+    if !closes_connection {
+        state.client().keep_for(lease, idle_timeout.unwrap_or(Duration::MAX));
     }
 }
--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, decoded.
+//! A decoded request.
 
 use std::time::Duration;
 
@@ -12,57 +12,57 @@
 use crate::routing::Credential;
 use crate::unit::Tokens;
 
-/// A shared part of a prompt must have so many tokens to decide where a request goes: reading fewer again takes less
-/// than the differences between engines that are otherwise alike.
-const WORTH_FINDING: Tokens = Tokens::new(1_000);
+/// Shorter shared prefixes do not affect placement: reading them again costs less than the usual
+/// differences between engines.
+const MIN_SHARED_TOKENS: Tokens = Tokens::new(1_000);
 
-/// One request, without its body.
+/// A request without its body.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// The caller's id of this attempt, as it was sent.
+    /// The request id that the caller assigned to this attempt.
     pub id: String,
     /// The method.
     pub method: Method,
-    /// The host that it names.
+    /// The requested host.
     pub host: String,
-    /// Its path and query.
+    /// The path and query.
     pub target: PathAndQuery,
-    /// How long the caller waits; none where it does not say.
-    pub patience: Option<Duration>,
-    /// What it asks of a model engine; none for a plain request.
+    /// The caller's timeout, if stated.
+    pub timeout: Option<Duration>,
+    /// The size of the prompt; none for requests to plain services.
     pub prompt: Option<Prompt>,
-    /// The key that it shows.
-    pub shown: Shown,
-    /// The headers that go with it unchanged.
+    /// The key presented by the caller.
+    pub authorization: Authorization,
+    /// End-to-end headers, forwarded unchanged.
     pub headers: HeaderMap,
 }
 
-/// What a request shows of who sent it.
+/// The key material of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Shown {
+pub enum Authorization {
     /// No key.
-    Nothing,
+    Missing,
     /// One key.
     Key(Credential),
-    /// Several keys, none of which counts.
-    Several,
+    /// More than one key; none is accepted.
+    Ambiguous,
 }
 
-/// A prompt's size and parts.
+/// The size and parts of a prompt.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Its length.
+    /// Prompt length.
     pub input: Tokens,
-    /// The most that may be generated.
+    /// Maximum number of generated tokens.
     pub output: Tokens,
-    /// How much its caller expects to be generated; none where it does not say.
+    /// Expected number of generated tokens, if stated.
     pub hint: Option<Tokens>,
-    /// Its parts in order, each with a name and a length; the last one is the request's own or its session's.
+    /// Consecutive parts as (key, length); the last one is specific to the request or its session.
     pub parts: Vec<(u64, Tokens)>,
 }
 
 impl Call {
-    /// What it asks of an engine.
+    /// The work that an engine has to do.
     pub fn work(&self) -> Work {
         let Some(prompt) = &self.prompt else { return Work::default() };
         let shared = prompt.shared();
@@ -73,18 +73,18 @@
 }
 
 impl Prompt {
-    /// The tokens that it states, read and generated.
-    pub fn stated(&self) -> Tokens {
+    /// Prompt tokens plus the maximum of generated tokens.
+    pub fn total_tokens(&self) -> Tokens {
         self.input + self.output
     }
 
-    /// The leading parts that other requests have too, named by the last of them: a part is of use only where all parts
-    /// before it are there as well.
+    /// The prefix that is shared with other requests, identified by the key of its last part. A
+    /// cached part is usable only if all parts before it are cached too.
     fn shared(&self) -> Option<Shared> {
         let (_, leading) = self.parts.split_last()?;
         let key = leading.last()?.0;
         let tokens = leading.iter().map(|(_, tokens)| *tokens).sum();
-        (tokens >= WORTH_FINDING).then_some(Shared { key, tokens })
+        (tokens >= MIN_SHARED_TOKENS).then_some(Shared { key, tokens })
     }
 }
 
--- a/src/gateway/call/tests.rs
+++ b/src/gateway/call/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn the_last_part_is_the_requests_own() {
+fn only_parts_before_the_last_one_are_shared() {
     let shared = prompt(&[(1, 800), (2, 400), (3, 250)]).shared().unwrap();
     assert_eq!((shared.key, shared.tokens), (2, Tokens::new(1200)));
     assert!(prompt(&[(1, 5000)]).shared().is_none());
--- a/src/gateway/caller/tests.rs
+++ b/src/gateway/caller/tests.rs
@@ -8,8 +8,8 @@
 
 use super::Caller;
 use crate::gateway::Call;
-use crate::gateway::call::Shown;
-use crate::gateway::relay::Layer;
+use crate::gateway::call::Authorization;
+use crate::gateway::relay::Hop;
 use crate::http::Reason;
 use crate::id;
 use crate::routing::Credential;
@@ -53,71 +53,76 @@
     Table::new(&Document { organisations, ..Document::default() })
 }
 
-fn call(shown: Shown) -> Call {
+fn call(authorization: Authorization) -> Call {
     Call {
         id: "id".to_owned(),
         method: Method::GET,
         host: "a.example".to_owned(),
         target: PathAndQuery::from_static("/"),
-        patience: None,
+        timeout: None,
         prompt: None,
-        shown,
+        authorization,
         headers: HeaderMap::new(),
     }
 }
 
-fn key(key: &str) -> Shown {
-    Shown::Key(Credential::new(key.as_bytes()))
+fn key(key: &str) -> Authorization {
+    Authorization::Key(Credential::new(key.as_bytes()))
 }
 
-fn first(table: &Table, route: &Route, shown: Shown) -> Result<Caller, Reason> {
-    let caller = Caller::identify(table, route, &call(shown), (Layer::First, None));
+fn identify(table: &Table, route: &Route, authorization: Authorization) -> Result<Caller, Reason> {
+    let caller = Caller::identify(table, route, &call(authorization), (Hop::Ingress, None));
     caller.map_err(|refusal| refusal.reason)
 }
 
 #[test]
 fn each_key_of_an_organisation_names_it() {
     let table = table(Some(vec![organisation(&[], None)]));
-    for shown in [key("old"), key("new")] {
-        let caller = first(&table, &route(&[], false), shown).unwrap();
+    for authorization in [key("old"), key("new")] {
+        let caller = identify(&table, &route(&[], false), authorization).unwrap();
         assert_eq!(caller.name().unwrap().as_str(), "bank");
     }
 }
 
 #[parameterized(
-    nothing = { Shown::Nothing },
-    several = { Shown::Several },
+    missing = { Authorization::Missing },
+    ambiguous = { Authorization::Ambiguous },
     unknown = { key("stolen") },
 )]
-fn without_one_known_key_nobody_is_served(shown: Shown) {
+fn exactly_one_known_key_is_required(authorization: Authorization) {
     let table = table(Some(vec![organisation(&[], None)]));
-    assert_eq!(first(&table, &route(&[], false), shown).unwrap_err(), Reason::Unauthorized);
+    assert_eq!(
+        identify(&table, &route(&[], false), authorization).unwrap_err(),
+        Reason::Unauthorized
+    );
 }
 
 #[test]
-fn nobody_is_asked_on_a_public_route_or_without_organisations() {
+fn public_routes_and_documents_without_organisations_need_no_key() {
     let with = table(Some(vec![organisation(&[], None)]));
-    for shown in [Shown::Nothing, key("stolen"), key("old")] {
-        assert!(first(&with, &route(&[], true), shown).unwrap().name().is_none());
-        assert!(first(&table(None), &route(&[], false), shown).unwrap().name().is_none());
+    for authorization in [Authorization::Missing, key("stolen"), key("old")] {
+        assert!(identify(&with, &route(&[], true), authorization).unwrap().name().is_none());
+        assert!(
+            identify(&table(None), &route(&[], false), authorization).unwrap().name().is_none()
+        );
     }
-    assert!(first(&table(Some(Vec::new())), &route(&[], false), key("old")).is_err());
+    assert!(identify(&table(Some(Vec::new())), &route(&[], false), key("old")).is_err());
 }
 
-// Guards against a caller that names its organisation itself, in the words that VMs use among themselves.
+// Guards against a caller that spoofs its organisation with the header used between VMs.
 #[test]
-fn only_a_vm_is_believed_about_the_organisation() {
+fn the_organisation_header_is_trusted_only_from_vms() {
     let table = table(Some(vec![organisation(&[], None)]));
     let (bank, other): (id::Owner, id::Owner) = ("bank".parse().unwrap(), "x".parse().unwrap());
     let route = route(&[], false);
-    let identify = |layer, name| {
-        Caller::identify(&table, &route, &call(Shown::Nothing), (layer, name))
+    let identify_at = |hop, name| {
+        Caller::identify(&table, &route, &call(Authorization::Missing), (hop, name))
             .map_err(|refusal| refusal.reason)
     };
-    assert_eq!(identify(Layer::First, Some(&bank)).unwrap_err(), Reason::Unauthorized);
-    assert!(identify(Layer::Forwarded, Some(&bank)).is_ok());
-    assert_eq!(identify(Layer::Forwarded, Some(&other)).unwrap_err(), Reason::Outdated);
-    assert_eq!(identify(Layer::Forwarded, None).unwrap_err(), Reason::Outdated);
+    assert_eq!(identify_at(Hop::Ingress, Some(&bank)).unwrap_err(), Reason::Unauthorized);
+    assert!(identify_at(Hop::Forwarded, Some(&bank)).is_ok());
+    assert_eq!(identify_at(Hop::Forwarded, Some(&other)).unwrap_err(), Reason::Outdated);
+    assert_eq!(identify_at(Hop::Forwarded, None).unwrap_err(), Reason::Outdated);
 }
 
 #[parameterized(
@@ -127,7 +132,7 @@
     both = { &["r", "q"], &["r"], true, true },
     disjoint = { &["q"], &["r"], false, false },
 )]
-fn the_homes_of_organisation_and_route_bind(
+fn homes_of_organisation_and_route_are_intersected(
     own: &[&str],
     routes: &[&str],
     is_allowed: bool,
@@ -135,16 +140,16 @@
 ) {
     let table = table(Some(vec![organisation(own, None)]));
     let route = route(routes, false);
-    let caller = first(&table, &route, key("old")).unwrap();
+    let caller = identify(&table, &route, key("old")).unwrap();
     assert_eq!(caller.allows(&route, &"r".parse().unwrap()), is_allowed);
     assert_eq!(caller.has_home(&route), has_home);
 }
 
-// Guards against sending a request once more after its key was taken away.
+// Guards against retrying a request whose key has been revoked.
 #[test]
-fn a_caller_whose_key_went_is_not_known_any_more() {
+fn a_revoked_key_is_no_longer_known() {
     let before = table(Some(vec![organisation(&[], None)]));
-    let caller = first(&before, &route(&[], false), key("old")).unwrap();
+    let caller = identify(&before, &route(&[], false), key("old")).unwrap();
     assert!(caller.is_known(&before));
     let mut rotated = organisation(&[], None);
     rotated.credentials.remove(0);
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -1,4 +1,4 @@
-//! The entry daemon: its listeners and tasks under one supervisor.
+//! The entry daemon: its listeners and background tasks.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,10 +17,10 @@
 use tokio::time::Instant;
 
 use super::Adapter;
-use super::Hub;
+use super::State;
 use super::follow;
 use super::receive;
-use super::share;
+use super::sharing;
 use crate::entry::daemon::Error;
 use crate::entry::daemon::listen;
 use crate::http::Body;
@@ -34,33 +34,34 @@
 use crate::wire::Role;
 use crate::wire::link::Handler;
 
-/// After the last request in progress, connections get so long to end.
-const LAST: Duration = Duration::from_millis(300);
-/// A VM that leaves goes on taking requests while callers use answers of the directory that name it, and this much longer,
-/// until the directory has heard of it. What comes later is refused, and its caller goes to another VM.
+/// Timeout for closing connections after the last request has completed.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(300);
+/// A draining VM accepts requests for the TTL of a directory answer plus this delay, which covers
+/// the propagation of its new state to the directory. Later requests are refused.
 ///
-/// Failure: callers keep an answer for longer than VMs that leave take on, and two VMs of a region are stopped one after the
-/// other. Callers are refused by the first and by the second, and have no attempt left.
-const HEARD: Duration = Duration::from_millis(500);
-/// The part of the grace time in which it does so at most; the rest is for streams to end.
-const MOST_TAKEN_ON: f64 = 0.4;
-/// The part of the time until the process is ended by force in which requests in progress may end.
-const USED_GRACE: f64 = 0.95;
-/// Whether the last request has ended is looked at this often.
-const LOOK: Duration = Duration::from_millis(50);
+/// Guards against callers that use up their attempts on VMs of a region that are stopped one after
+/// the other.
+const DEREGISTRATION_DELAY: Duration = Duration::from_millis(500);
+/// Upper bound of that period as a fraction of the grace period; streams finish in the rest.
+const MAX_ACCEPTING_FRACTION: f64 = 0.4;
+/// Fraction of the grace period after which remaining requests are cut off.
+const DRAIN_FRACTION: f64 = 0.95;
+/// Interval of checks for remaining requests.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A running entry daemon.
 pub struct Daemon {
-    hub: Arc<Hub>,
+    state: Arc<State>,
     supervisor: Supervisor,
 }
 
 impl Daemon {
-    /// Starts the daemon. `born` is the wall clock in milliseconds since the Unix epoch; the seed drives choices.
+    /// Starts the daemon. `start_time_ms` is the Unix time in milliseconds; `seed` initialises the
+    /// random number generator.
     pub async fn start(
         node: Arc<Node>,
         adapter: Arc<dyn Adapter>,
-        born: u64,
+        start_time_ms: u64,
         seed: u64,
         log: Logger,
     ) -> Result<Self, Error> {
@@ -73,93 +74,101 @@
             Some(directory) => Some(listen(*directory).await?),
             None => None,
         };
-        let hub = Arc::new(Hub::new(node.clone(), adapter, born, seed, log.clone()));
+        let state = Arc::new(State::new(node.clone(), adapter, start_time_ms, seed, log.clone()));
         let book = node.seed_links().map(|(vm, link)| (Peer::new(vm, Role::Control), link));
         let peer = Peer::new(node.vm(), Role::Entry);
-        hub.connect(Mesh::new(peer, node.secret.clone(), book.collect(), Arc::new(Silent)));
+        state.set_mesh(Mesh::new(peer, node.secret.clone(), book.collect(), Arc::new(NoRequests)));
         let mut supervisor = Supervisor::new(log.clone());
-        listener(&mut supervisor, "callers", callers, &hub, receive::from_caller);
-        listener(&mut supervisor, "forwards", forwards, &hub, receive::from_vm);
-        listener(&mut supervisor, "operators", operators, &hub, operate);
+        spawn_listener(&mut supervisor, "callers", callers, &state, receive::handle_caller);
+        spawn_listener(&mut supervisor, "forwards", forwards, &state, receive::handle_forwarded);
+        spawn_listener(&mut supervisor, "operators", operators, &state, handle_operator);
         if let Some(directory) = directory {
-            listener(&mut supervisor, "directory", directory, &hub, look_up);
+            spawn_listener(&mut supervisor, "directory", directory, &state, handle_directory);
         }
-        let (following, stop) = (hub.clone(), supervisor.stop());
+        let (following, stop) = (state.clone(), supervisor.stop());
         supervisor.child("following", move || follow::run(following.clone(), stop.clone()));
         if node.secret.is_empty() {
-            let (hub, stop, address) = (hub.clone(), supervisor.stop(), entry.forwards);
+            let (state, stop, address) = (state.clone(), supervisor.stop(), entry.forwards);
             supervisor
-                .child("sharing", move || share::run(hub.clone(), address, seed, stop.clone()));
+                .child("sharing", move || sharing::run(state.clone(), address, seed, stop.clone()));
         } else {
-            // Datagrams bear no proof of who sent them, so they are for networks that only VMs of the system reach.
+            // The datagrams are not authenticated, so they are sent only in a network that is
+            // reserved for the VMs.
             info!(log, "sharing.off"; "why" => "the network is not closed");
         }
         info!(log, "process.started"; "version" => env!("CARGO_PKG_VERSION"),
-            "region" => %node.region, "data_centre" => %node.data_centre, "born" => born);
-        Ok(Self { hub, supervisor })
+            "region" => %node.region, "data_centre" => %node.data_centre, "born" => start_time_ms);
+        Ok(Self { state, supervisor })
     }
 
     /// The state, for tests.
-    pub fn hub(&self) -> &Arc<Hub> {
-        &self.hub
+    pub fn state(&self) -> &Arc<State> {
+        &self.state
     }
 
-    /// Leaves the directory, lets every request in progress end, and returns within the time that the settings give.
+    /// Deregisters the VM, waits for requests in progress and returns within the configured grace
+    /// period.
     pub async fn drain(self) {
         let started = Instant::now();
-        let grace = self.hub.node().entry.as_ref().map_or(Duration::ZERO, |entry| entry.grace);
-        let until = started + grace.mul_f64(USED_GRACE).saturating_sub(LAST);
-        info!(self.hub.log(), "process.draining"; "in_progress" => self.hub.in_progress());
-        self.hub.drain();
-        time::sleep((self.hub.directory_time() + HEARD).min(grace.mul_f64(MOST_TAKEN_ON))).await;
-        self.hub.close();
-        while self.hub.in_progress() > 0 && Instant::now() < until {
-            time::sleep(LOOK).await;
+        let grace = self.state.node().entry.as_ref().map_or(Duration::ZERO, |entry| entry.grace);
+        let until = started + grace.mul_f64(DRAIN_FRACTION).saturating_sub(SHUTDOWN_TIMEOUT);
+        info!(self.state.log(), "process.draining"; "in_progress" => self.state.in_progress());
+        self.state.drain();
+        time::sleep(
+            (self.state.directory_ttl() + DEREGISTRATION_DELAY)
+                .min(grace.mul_f64(MAX_ACCEPTING_FRACTION)),
+        )
+        .await;
+        self.state.close();
+        while self.state.in_progress() > 0 && Instant::now() < until {
+            time::sleep(POLL_INTERVAL).await;
         }
-        if self.hub.in_progress() > 0 {
-            warn!(self.hub.log(), "process.cuts_off"; "in_progress" => self.hub.in_progress());
+        if self.state.in_progress() > 0 {
+            warn!(self.state.log(), "process.cuts_off"; "in_progress" => self.state.in_progress());
         }
-        self.supervisor.finish(LAST).await;
-        info!(self.hub.log(), "process.stopped"; "ms" => started.elapsed().as_millis() as u64);
+        self.supervisor.finish(SHUTDOWN_TIMEOUT).await;
+        info!(self.state.log(), "process.stopped"; "ms" => started.elapsed().as_millis() as u64);
     }
 
-    /// Ends at once, as a crash would.
+    /// Stops immediately, as a crash would.
     pub fn abort(self) {
         drop(self.supervisor);
     }
 }
 
-async fn operate(hub: Arc<Hub>, request: Request<Incoming>) -> Response<Body> {
-    hub.adapter().operate(hub.clone(), request).await
+async fn handle_operator(state: Arc<State>, request: Request<Incoming>) -> Response<Body> {
+    state.adapter().handle_operator(state.clone(), request).await
 }
 
-async fn look_up(hub: Arc<Hub>, request: Request<Incoming>) -> Response<Body> {
-    hub.adapter().look_up(&hub, &request)
+async fn handle_directory(state: Arc<State>, request: Request<Incoming>) -> Response<Body> {
+    state.adapter().handle_directory(&state, &request)
 }
 
-/// A listener under the supervisor; the socket outlives a child that fails.
-fn listener<F, A>(
+/// Starts a supervised listener; the socket stays open if the task panics.
+fn spawn_listener<F, A>(
     supervisor: &mut Supervisor,
     name: &'static str,
     socket: TcpListener,
-    hub: &Arc<Hub>,
+    state: &Arc<State>,
     answer: F,
 ) where
-    F: Fn(Arc<Hub>, Request<Incoming>) -> A + Copy + Send + Sync + 'static,
+    F: Fn(Arc<State>, Request<Incoming>) -> A + Copy + Send + Sync + 'static,
     A: Future<Output = Response<Body>> + Send + 'static,
 {
-    let (socket, hub) = (Arc::new(socket), hub.clone());
+    let (socket, state) = (Arc::new(socket), state.clone());
     let stop: watch::Receiver<bool> = supervisor.stop();
     supervisor.child(name, move || {
-        let hub = hub.clone();
-        server::serve(socket.clone(), stop.clone(), move |request, _| answer(hub.clone(), request))
+        let state = state.clone();
+        server::serve(socket.clone(), stop.clone(), move |request, _| {
+            answer(state.clone(), request)
+        })
     });
 }
 
-/// An entry VM asks control VMs, and is asked nothing.
-struct Silent;
+/// Rejects requests over links: an entry VM is a client only.
+struct NoRequests;
 
-impl Handler for Silent {
+impl Handler for NoRequests {
     fn call(&self, _: Peer, _: crate::wire::Request) -> BoxFuture<'static, Reply> {
         futures::future::ready(Reply::Unsupported).boxed()
     }
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -1,8 +1,8 @@
-//! Following control VMs: what they know, and saying that this VM is there.
+//! Subscribes to control VMs by long polling and reports this VM's presence to them.
 //!
-//! Two are followed at a time, so that the loss of one, or its lag, holds nothing back; and a third one while neither of
-//! the two hears a leader, since both may stand on the wrong side of a cut. Each call waits at the other end
-//! for news, for a second at most; the traffic of an entry VM for control thus doesn't grow with the fleet.
+//! Two control VMs are followed, so that the loss or lag of one delays nothing. A third one is
+//! followed while neither of them hears a leader, since both may be on the minority side of a
+//! partition.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use tokio::time;
 use tokio::time::Instant;
 
-use super::Hub;
+use super::State;
 use crate::clock;
 use crate::decide::freshness::Proof;
 use crate::decide::route::rendezvous;
@@ -27,178 +27,180 @@
 use crate::wire::message::Follow;
 use crate::wire::message::Followed;
 
-/// The control VMs that are followed at a time, and the place of one more while none of them is in touch.
-const FOLLOWED: usize = 3;
-/// The place whose control VM tells of the entry VMs of all regions; the others tell of the own region's.
+/// Number of subscriptions: two permanent ones and the fallback.
+const SLOTS: usize = 3;
+/// The subscription that receives the entry VMs of all regions; the others receive those of this
+/// region.
 ///
-/// Failure: a hundred VMs are restarted in turn, and each of two hundred is told by two control VMs of each step of each of
-/// them. Of the VMs of other regions any few that take requests suffice, and one source for them.
-const WHOLE: usize = 0;
-/// The place of the one more.
-const SPARE: usize = 2;
-/// A call that waits for news is answered within [`WATCH`](crate::directory::service::WATCH) and a trip between regions; a VM that takes longer has
-/// stopped, and another one is followed.
-const LIMIT: Duration = Duration::from_millis(1800);
-/// Between two calls, so that a flood of news is told in a few batches.
-const PACE: Duration = Duration::from_millis(40);
-/// A control VM that gave no answer is left alone for so long: after a restart of everything, entry VMs are up before
-/// control VMs, and must not lose a second to that.
-const AWAY: Duration = Duration::from_millis(150);
-/// Where none can be reached, one is tried again after this.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Guards against an update storm during rolling restarts: a few VMs of each other region are
+/// enough, and so is one source for them.
+const FULL_ROSTER: usize = 0;
+/// The subscription that is active only while no other source is up to date.
+const FALLBACK: usize = 2;
+/// A long poll returns within [`WATCH`](crate::directory::service::WATCH) plus a round trip between
+/// regions. After this timeout the control VM is replaced by another one.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1800);
+/// Minimum interval between calls, so that bursts of updates arrive in batches.
+const MIN_CALL_INTERVAL: Duration = Duration::from_millis(40);
+/// Backoff for a control VM that did not respond. It is short because entry VMs start faster than
+/// control VMs after a power failure.
+const FAILURE_BACKOFF: Duration = Duration::from_millis(150);
+/// Delay before the next try if no control VM is available.
+const NO_SOURCE_DELAY: Duration = Duration::from_millis(50);
 
-/// Which control VMs are followed, and which gave no answer lately.
+/// The followed control VMs and those in backoff.
 #[derive(Debug, Default)]
-struct Followers {
-    current: [Option<id::Vm>; FOLLOWED],
-    away: HashMap<id::Vm, Instant>,
-    in_touch: [bool; FOLLOWED],
+struct Sources {
+    current: [Option<id::Vm>; SLOTS],
+    backoff: HashMap<id::Vm, Instant>,
+    is_fresh: [bool; SLOTS],
 }
 
-impl Followers {
-    /// A followed one says whether it is in touch; returns whether to go on with it. The spare one is of use while it is
-    /// up to date and no other is.
-    fn note(&mut self, nth: usize, in_touch: bool) -> bool {
-        self.in_touch[nth] = in_touch;
-        nth != SPARE || (in_touch && !self.has_source())
+impl Sources {
+    /// Records whether a source is up to date and returns whether to keep following it. The
+    /// fallback is kept only while it is up to date and no other source is.
+    fn record_freshness(&mut self, slot: usize, is_fresh: bool) -> bool {
+        self.is_fresh[slot] = is_fresh;
+        slot != FALLBACK || (is_fresh && !self.has_fresh_source())
     }
 
-    /// Whether a control VM should be followed in that place.
-    fn wants(&self, nth: usize) -> bool {
-        nth != SPARE || !self.has_source()
+    /// Whether the subscription should be active.
+    fn needs(&self, slot: usize) -> bool {
+        slot != FALLBACK || !self.has_fresh_source()
     }
 
-    /// Whether one of the two that are always followed is up to date.
-    fn has_source(&self) -> bool {
-        self.in_touch[..SPARE].contains(&true)
+    /// Whether a permanent source is up to date.
+    fn has_fresh_source(&self) -> bool {
+        self.is_fresh[..FALLBACK].contains(&true)
     }
 }
 
-/// Follows control VMs until told to stop.
-pub async fn run(hub: Arc<Hub>, stop: watch::Receiver<bool>) {
-    let shared = Arc::new(Mutex::new(Followers::default()));
-    let each = (0..FOLLOWED).map(|nth| follow(&hub, nth, &shared, stop.clone()));
+/// Follows control VMs until shutdown.
+pub async fn run(state: Arc<State>, stop: watch::Receiver<bool>) {
+    let shared = Arc::new(Mutex::new(Sources::default()));
+    let each = (0..SLOTS).map(|slot| run_slot(&state, slot, &shared, stop.clone()));
     futures::future::join_all(each).await;
 }
 
-async fn follow(
-    hub: &Hub,
-    nth: usize,
-    followers: &Mutex<Followers>,
+async fn run_slot(
+    state: &State,
+    slot: usize,
+    sources: &Mutex<Sources>,
     mut stop: watch::Receiver<bool>,
 ) {
-    let mut draining = hub.draining();
+    let mut draining = state.draining();
     loop {
         let vm = {
-            let mut followers = followers.lock().expect("no panic while locked");
-            if followers.wants(nth) { choose(hub, nth, &mut followers) } else { None }
+            let mut sources = sources.lock().expect("no panic while locked");
+            if sources.needs(slot) { choose_source(state, slot, &mut sources) } else { None }
         };
         let Some(vm) = vm else {
             tokio::select! {
-                () = time::sleep(PAUSE) => continue,
+                () = time::sleep(NO_SOURCE_DELAY) => continue,
                 _ = stop.wait_for(|stop| *stop) => return,
             }
         };
-        info!(hub.log(), "control.followed"; "control" => %vm, "nth" => nth);
+        info!(state.log(), "control.followed"; "control" => %vm, "nth" => slot);
         tokio::select! {
-            () = keep_following(hub, &vm, nth, followers, &mut draining) => (),
+            () = follow_source(state, &vm, slot, sources, &mut draining) => (),
             _ = stop.wait_for(|stop| *stop) => return,
         }
-        warn!(hub.log(), "control.lost"; "control" => %vm, "nth" => nth);
-        let mut followers = followers.lock().expect("no panic while locked");
-        followers.current[nth] = None;
-        followers.in_touch[nth] = false;
-        followers.away.insert(vm.clone(), Instant::now() + AWAY);
-        hub.unfollow(&vm);
+        warn!(state.log(), "control.lost"; "control" => %vm, "nth" => slot);
+        let mut sources = sources.lock().expect("no panic while locked");
+        sources.current[slot] = None;
+        sources.is_fresh[slot] = false;
+        sources.backoff.insert(vm.clone(), Instant::now() + FAILURE_BACKOFF);
+        state.unfollow(&vm);
     }
 }
 
-/// Follows one control VM until it gives no answer.
-async fn keep_following(
-    hub: &Hub,
+/// Follows one control VM until a call fails.
+async fn follow_source(
+    state: &State,
     vm: &id::Vm,
-    nth: usize,
-    followers: &Mutex<Followers>,
+    slot: usize,
+    sources: &Mutex<Sources>,
     draining: &mut watch::Receiver<bool>,
 ) {
     let peer = Peer::new(vm.clone(), Role::Control);
     loop {
         draining.mark_unchanged();
         let sent = clock::now();
-        let asked = ask(hub, &peer, nth);
+        let call = fetch(state, &peer, slot);
         let followed = tokio::select! {
-            followed = asked => followed,
-            // What this VM says of itself has changed, and must be known before the present call returns.
+            followed = call => followed,
+            // Draining must be reported before the pending call returns.
             Ok(()) = draining.changed() => continue,
         };
         let Some(followed) = followed else { return };
-        let in_touch = followed.in_touch;
-        take(hub, vm, followed, sent);
-        if !followers.lock().expect("no panic while locked").note(nth, in_touch) {
+        let is_fresh = followed.in_touch;
+        apply(state, vm, followed, sent);
+        if !sources.lock().expect("no panic while locked").record_freshness(slot, is_fresh) {
             return;
         }
-        time::sleep(PACE).await;
+        time::sleep(MIN_CALL_INTERVAL).await;
     }
 }
 
-async fn ask(hub: &Hub, peer: &Peer, nth: usize) -> Option<Followed> {
-    let region = Some(&hub.node().region).filter(|_| nth != WHOLE);
-    let (epoch, roster) = hub.merged().ask(&peer.vm, region);
-    let (presence, routing) = (hub.state_presence(), hub.routing().revision);
+async fn fetch(state: &State, peer: &Peer, slot: usize) -> Option<Followed> {
+    let region = Some(&state.node().region).filter(|_| slot != FULL_ROSTER);
+    let (epoch, roster) = state.merged().ask(&peer.vm, region);
+    let (presence, routing) = (state.next_presence(), state.routing().revision);
     let only_of = region.cloned();
     let follow = Follow { presence, epoch, roster, only_of, routing };
-    let reply = hub.mesh()?.call(peer, Request::Follow(Box::new(follow)), LIMIT).await;
+    let reply = state.mesh()?.call(peer, Request::Follow(Box::new(follow)), CALL_TIMEOUT).await;
     match reply {
         Ok(Reply::Followed(followed)) => Some(*followed),
         Ok(_) | Err(_) => None,
     }
 }
 
-fn take(hub: &Hub, vm: &id::Vm, followed: Followed, sent: Instant) {
+fn apply(state: &State, vm: &id::Vm, followed: Followed, sent: Instant) {
     if let Some((stamp, nonce)) = followed.known_as {
-        hub.overtake(stamp, nonce);
+        state.supersede(stamp, nonce);
     }
     if let Some(routing) = followed.routing {
-        hub.take_routing(routing);
+        state.apply_routing(routing);
     }
     if let Some(proof) = followed.proof.and_then(|told| Proof::of(told, sent)) {
-        hub.take_proof(proof);
+        state.apply_proof(proof);
     }
     if let Some(delta) = followed.roster {
         let links = delta.vms.iter().filter_map(|fact| Some((&fact.said, fact.said.links?)));
-        if let Some(mesh) = hub.mesh() {
+        if let Some(mesh) = state.mesh() {
             links.for_each(|(vm, link)| mesh.learn(Peer::new(vm.vm.clone(), vm.role), link));
         }
-        hub.take_roster(vm, followed.epoch, delta);
+        state.apply_roster(vm, followed.epoch, delta);
     }
 }
 
-/// The first one followed stands in the own region, so that a region that is cut off goes on by itself; the second one
-/// stands elsewhere where that can be had, so that a region's lagging control VMs hold nothing back.
-fn choose(hub: &Hub, nth: usize, followers: &mut Followers) -> Option<id::Vm> {
+/// Prefers a control VM of this region for the first subscription, so that an isolated region keeps
+/// working, and one of another region for the others, so that lagging control VMs of this region
+/// delay nothing.
+fn choose_source(state: &State, slot: usize, sources: &mut Sources) -> Option<id::Vm> {
     let now = Instant::now();
-    followers.away.retain(|_, until| now < *until);
-    let taken: Vec<id::Vm> = followers.current.iter().flatten().cloned().collect();
+    sources.backoff.retain(|_, until| now < *until);
+    let current: Vec<id::Vm> = sources.current.iter().flatten().cloned().collect();
     let mut candidates: Vec<(u8, u64, id::Vm)> = Vec::new();
-    let me = hub.node().vm();
-    let mut add = |vm: &id::Vm, here: bool| {
+    let own_vm = state.node().vm();
+    let mut add_candidate = |vm: &id::Vm, is_local: bool| {
         let is_listed = candidates.iter().any(|(_, _, listed)| listed == vm);
-        if taken.contains(vm) || followers.away.contains_key(vm) || is_listed {
+        if current.contains(vm) || sources.backoff.contains_key(vm) || is_listed {
             return;
         }
-        let wants_here = nth == 0;
-        let weight = rendezvous::weight(nth as u64, &format!("{me}/{vm}"));
-        candidates.push((u8::from(here != wants_here), u64::MAX - weight, vm.clone()));
+        let prefers_local = slot == 0;
+        let weight = rendezvous::weight(slot as u64, &format!("{own_vm}/{vm}"));
+        candidates.push((u8::from(is_local != prefers_local), u64::MAX - weight, vm.clone()));
     };
-    let merged = hub.merged();
+    let merged = state.merged();
     for vm in merged.vms(Role::Control) {
-        add(&vm.vm, vm.region == hub.node().region);
+        add_candidate(&vm.vm, vm.region == state.node().region);
     }
-    for (vm, _) in hub.seeds().links() {
-        add(&vm, false);
+    for (vm, _) in state.seeds().links() {
+        add_candidate(&vm, false);
     }
     let (_, _, vm) = candidates.into_iter().min()?;
-    followers.current[nth] = Some(vm.clone());
+    sources.current[slot] = Some(vm.clone());
     Some(vm)
 }
 
--- a/src/gateway/follow/tests.rs
+++ b/src/gateway/follow/tests.rs
@@ -1,20 +1,22 @@
-use super::Followers;
-use super::SPARE;
+use super::FALLBACK;
+use super::Sources;
 
-// The core is cut in two, and both control VMs that an entry VM follows stand on the smaller side. They answer, and know
-// of no change any more; the entry VM would serve by an old document for as long as the cut lasts. It follows a third one
-// until one of the two hears a leader again.
+// Guards against serving an outdated document when both followed control VMs are on the minority
+// side of a network partition.
 #[test]
 fn a_third_control_vm_is_followed_while_two_are_out_of_touch() {
-    let mut followers = Followers::default();
-    assert!(followers.note(0, true));
-    assert!(!followers.wants(SPARE));
-    assert!(followers.note(0, false));
-    assert!(followers.note(1, false));
-    assert!(followers.wants(SPARE) && followers.wants(0));
-    assert!(!followers.note(SPARE, false), "one that is out of touch itself is left at once");
-    assert!(followers.note(SPARE, true));
-    assert!(followers.note(1, true));
-    assert!(!followers.note(SPARE, true));
-    assert!(!followers.wants(SPARE));
+    let mut sources = Sources::default();
+    assert!(sources.record_freshness(0, true));
+    assert!(!sources.needs(FALLBACK));
+    assert!(sources.record_freshness(0, false));
+    assert!(sources.record_freshness(1, false));
+    assert!(sources.needs(FALLBACK) && sources.needs(0));
+    assert!(
+        !sources.record_freshness(FALLBACK, false),
+        "one that is out of touch itself is left at once"
+    );
+    assert!(sources.record_freshness(FALLBACK, true));
+    assert!(sources.record_freshness(1, true));
+    assert!(!sources.record_freshness(FALLBACK, true));
+    assert!(!sources.needs(FALLBACK));
 }
--- a/src/gateway/headers.rs
+++ b/src/gateway/headers.rs
@@ -1,4 +1,4 @@
-//! Headers that concern one connection only, and the system's own between its VMs.
+//! Hop-by-hop headers, and the headers exchanged between VMs.
 
 use std::time::Duration;
 
@@ -12,24 +12,25 @@
 /// Between VMs: the expected time to the first event in the sender's region, in milliseconds.
 const OUTLOOK: HeaderName = HeaderName::from_static("mastic-outlook-ms");
 
-/// Between VMs: the requests that run in the upstream that a usual request would go to there. VMs of the version before
-/// don't send it; they are taken to have idle upstreams.
+/// Between VMs: the number of requests running on the upstream that a typical request would get.
+/// Zero is assumed for older VMs, which do not send it.
 const OUTLOOK_RUNNING: HeaderName = HeaderName::from_static("mastic-outlook-running");
 
-/// Between VMs: the request may have arrived at an upstream before, so that sending it to one is a repeat.
-pub const REPEAT: HeaderName = HeaderName::from_static("mastic-repeat");
+/// Between VMs: the request may have reached an upstream before, so that sending it is a retry.
+pub const RETRY: HeaderName = HeaderName::from_static("mastic-repeat");
 
-/// Between VMs, in a refusal: the request arrived at an upstream, so that sending it to another one is a repeat.
+/// Between VMs, in a refusal: the request reached an upstream, so that sending it to another is a
+/// retry.
 ///
-/// Failure: the upstreams of two regions refuse a request, and the VM that its caller asked sends it to a third one as if
-/// for the first time. Under overload a service gets hundreds of repeats that no budget counts.
-pub const ARRIVED: HeaderName = HeaderName::from_static("mastic-arrived");
+/// Guards against unbudgeted retries under overload: without it, a request refused by the upstreams
+/// of two regions would be sent to a third one as a first attempt.
+pub const REACHED_UPSTREAM: HeaderName = HeaderName::from_static("mastic-arrived");
 
-/// Between VMs: the organisation whose caller sent the request, which the sender has checked.
+/// Between VMs: the caller's organisation, authenticated by the sender.
 pub const ORGANISATION: HeaderName = HeaderName::from_static("mastic-organisation");
 
-/// Headers that concern one connection (RFC 9110, 7.6.1), and the length, which the library writes by the body.
-const HOP: [HeaderName; 9] = [
+/// Hop-by-hop headers (RFC 9110, section 7.6.1), and the length, which hyper derives from the body.
+const HOP_BY_HOP: [HeaderName; 9] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
     header::EXPECT,
@@ -43,22 +44,22 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// The outlook that another VM's answer tells.
-pub fn outlook(headers: &HeaderMap) -> Option<Outlook> {
+/// The outlook reported in another VM's response.
+pub fn parse_outlook(headers: &HeaderMap) -> Option<Outlook> {
     let number = |name: &HeaderName| headers.get(name)?.to_str().ok()?.parse().ok();
     let wait = Duration::from_millis(number(&OUTLOOK)?);
     let running = number(&OUTLOOK_RUNNING).unwrap_or(0);
     Some(Outlook { wait, running: u32::try_from(running).unwrap_or(u32::MAX) })
 }
 
-/// Tells another VM how this region stands.
-pub fn tell_outlook(headers: &mut HeaderMap, outlook: &Outlook) {
+/// Reports this region's outlook to another VM.
+pub fn insert_outlook(headers: &mut HeaderMap, outlook: &Outlook) {
     headers.insert(OUTLOOK, HeaderValue::from(outlook.wait.as_millis() as u64));
     headers.insert(OUTLOOK_RUNNING, HeaderValue::from(outlook.running));
 }
 
-/// Takes out what must not be passed on, also what `Connection` names.
-pub fn strip(headers: &mut HeaderMap) {
+/// Removes hop-by-hop headers, those listed in `Connection`, and the headers exchanged between VMs.
+pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
@@ -66,10 +67,10 @@
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in HOP
+    for name in HOP_BY_HOP
         .iter()
         .chain([&KEEP_ALIVE, &PROXY_CONNECTION, &OUTLOOK, &OUTLOOK_RUNNING])
-        .chain([&REPEAT, &ARRIVED, &ORGANISATION])
+        .chain([&RETRY, &REACHED_UPSTREAM, &ORGANISATION])
         .chain(&named)
     {
         headers.remove(name);
--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -1,4 +1,5 @@
-//! Counters and histograms of an entry daemon. Label sets are bounded: outcomes, never routes, callers or ids.
+//! Prometheus metrics of an entry daemon. Labels are limited to outcomes, so that cardinality is
+//! bounded.
 
 use std::time::Duration;
 
@@ -12,7 +13,7 @@
 use prometheus_client::registry::Registry;
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Ended {
+struct Labels {
     outcome: &'static str,
 }
 
@@ -20,8 +21,8 @@
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    ended: Family<Ended, Counter>,
-    attempts: Family<Ended, Counter>,
+    requests: Family<Labels, Counter>,
+    attempts: Family<Labels, Counter>,
     first_event: Histogram,
     sharing_dropped: Counter,
     upstreams: Gauge,
@@ -30,19 +31,19 @@
     version: Gauge,
 }
 
-/// From 5 ms to 20 s in steps of a factor of 1.75.
-fn times() -> Histogram {
+/// Buckets from 5 ms to 20 s.
+fn seconds_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.005, 1.75, 16))
 }
 
 impl Default for Metrics {
     fn default() -> Self {
         let mut registry = Registry::with_prefix("mastic");
-        let ended = Family::<Ended, Counter>::default();
-        registry.register("requests", "Requests that ended, by outcome", ended.clone());
-        let attempts = Family::<Ended, Counter>::default();
+        let requests = Family::<Labels, Counter>::default();
+        registry.register("requests", "Requests that ended, by outcome", requests.clone());
+        let attempts = Family::<Labels, Counter>::default();
         registry.register("attempts", "Attempts that ended, by outcome", attempts.clone());
-        let first_event = times();
+        let first_event = seconds_histogram();
         let text = "Seconds from arrival to the head of the answer";
         registry.register("first_event_seconds", text, first_event.clone());
         let sharing_dropped = Counter::default();
@@ -58,7 +59,7 @@
         registry.register("document_version", "Number of the document in force", version.clone());
         Self {
             registry,
-            ended,
+            requests,
             attempts,
             first_event,
             sharing_dropped,
@@ -71,27 +72,27 @@
 }
 
 impl Metrics {
-    /// A request ended so.
-    pub fn ended(&self, outcome: &'static str) {
-        self.ended.get_or_create(&Ended { outcome }).inc();
+    /// Counts a completed request.
+    pub fn record_request(&self, outcome: &'static str) {
+        self.requests.get_or_create(&Labels { outcome }).inc();
     }
 
-    /// An attempt ended so.
-    pub fn attempted(&self, outcome: &'static str) {
-        self.attempts.get_or_create(&Ended { outcome }).inc();
+    /// Counts a completed attempt.
+    pub fn record_attempt(&self, outcome: &'static str) {
+        self.attempts.get_or_create(&Labels { outcome }).inc();
     }
 
-    /// The head of an answer came after that time.
-    pub fn first_event(&self, took: Duration) {
+    /// Records the time from arrival to the head of the response.
+    pub fn observe_first_event(&self, took: Duration) {
         self.first_event.observe(took.as_secs_f64());
     }
 
-    /// A datagram came that no VM of the region can have sent, or that has no sense.
-    pub fn sharing_dropped(&self) {
+    /// Counts a datagram from an unknown sender, or one that could not be decoded.
+    pub fn record_sharing_drop(&self) {
         self.sharing_dropped.inc();
     }
 
-    /// The metrics as text, with gauges as they stand now.
+    /// Encodes all metrics in the text format, after updating the gauges.
     pub fn encode(&self, upstreams: usize, vms: usize, in_progress: usize, version: u64) -> String {
         self.upstreams.set(upstreams as i64);
         self.vms.set(vms as i64);
--- a/src/gateway/receive.rs
+++ b/src/gateway/receive.rs
@@ -1,4 +1,4 @@
-//! Taking a request in, and answering it.
+//! Request handling: authentication, routing and the response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,17 +17,17 @@
 
 use super::Call;
 use super::Caller;
-use super::Hub;
-use super::attempt::Content;
-use super::attempt::Opened;
+use super::State;
+use super::attempt::OpenResponse;
+use super::attempt::ResponseBody;
 use super::call::Prompt;
 use super::caller;
 use super::headers;
-use super::hub::InProgress;
 use super::relay::Charge;
+use super::relay::Hop;
 use super::relay::Job;
-use super::relay::Layer;
 use super::relay::Relay;
+use super::state::RequestGuard;
 use super::stream::Stream;
 use crate::decide::quota;
 use crate::http::Body;
@@ -40,109 +40,115 @@
 use crate::routing::Route;
 use crate::routing::Table;
 
-/// A caller that comes while this VM has no document yet is told to come back after this; one arrives within a second.
-const STARTING: Duration = Duration::from_millis(300);
+/// `Retry-After` for requests that arrive before the first document, which takes about a second.
+const STARTUP_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// The part of a caller's time in which a VM that has just started may wait for what it has to know. The rest is enough
-/// for the request itself, or for another VM.
-pub const WAITED: f64 = 0.4;
+/// Fraction of a caller's timeout for which a starting VM may wait for its document and upstreams.
+/// The rest is enough for the request or for a retry at another VM.
+pub const STARTUP_WAIT_FRACTION: f64 = 0.4;
 
-/// A caller of a VM that is about to end, or out of touch with control, is told to go to another one after this.
-const ELSEWHERE: Duration = Duration::from_millis(20);
+/// `Retry-After` when another VM should be tried at once: this one is shutting down, or its
+/// document may be outdated.
+const FAILOVER_RETRY_AFTER: Duration = Duration::from_millis(20);
 
-/// How a request came to this VM.
+/// How a request got to this VM.
 struct Origin {
-    layer: Layer,
-    /// Whether it may have arrived at an upstream before.
-    is_repeat: bool,
-    /// The organisation of its caller, as another VM names it.
+    hop: Hop,
+    /// Whether it may have reached an upstream before.
+    is_retry: bool,
+    /// The caller's organisation, as stated by the forwarding VM.
     organisation: Option<id::Owner>,
 }
 
-/// Only other VMs are believed: callers may write what they like.
-fn origin(layer: Layer, told: &HeaderMap) -> Origin {
-    let is_vm = layer == Layer::Forwarded;
+/// Evaluates headers between VMs only for forwarded requests, since callers can forge them.
+fn parse_origin(hop: Hop, headers: &HeaderMap) -> Origin {
+    let is_vm = hop == Hop::Forwarded;
     Origin {
-        layer,
-        is_repeat: is_vm && told.contains_key(headers::REPEAT),
-        organisation: if is_vm { caller::passed_on(told) } else { None },
+        hop,
+        is_retry: is_vm && headers.contains_key(headers::RETRY),
+        organisation: if is_vm { caller::forwarded_organisation(headers) } else { None },
     }
 }
 
-/// Answers a caller.
-pub async fn from_caller(hub: Arc<Hub>, request: Request<Incoming>) -> Response<Body> {
-    receive(hub, request, Layer::First).await
+/// Handles a request from a caller.
+pub async fn handle_caller(state: Arc<State>, request: Request<Incoming>) -> Response<Body> {
+    handle(state, request, Hop::Ingress).await
 }
 
-/// Answers another VM that passes a request on.
-pub async fn from_vm(hub: Arc<Hub>, request: Request<Incoming>) -> Response<Body> {
-    receive(hub, request, Layer::Forwarded).await
+/// Handles a request forwarded by another VM.
+pub async fn handle_forwarded(state: Arc<State>, request: Request<Incoming>) -> Response<Body> {
+    handle(state, request, Hop::Forwarded).await
 }
 
-async fn receive(hub: Arc<Hub>, request: Request<Incoming>, layer: Layer) -> Response<Body> {
-    let arrived = Instant::now();
-    let progress = hub.enter();
+async fn handle(state: Arc<State>, request: Request<Incoming>, hop: Hop) -> Response<Body> {
+    let received_at = Instant::now();
+    let guard = state.track_request();
     let (head, body) = request.into_parts();
-    let origin = origin(layer, &head.headers);
-    let mut response = match decode(&hub, head) {
+    let origin = parse_origin(hop, &head.headers);
+    let mut response = match decode(&state, head) {
         Ok(call) => {
             let id = call.id.clone();
-            match prepare(&hub, call, body, origin, arrived).await {
-                Ok(job) => answer(&hub, job, progress).await,
-                Err(refusal) => refuse(&hub, Some(&id), &refusal, arrived),
+            match prepare(&state, call, body, origin, received_at).await {
+                Ok(job) => respond(&state, job, guard).await,
+                Err(refusal) => refuse(&state, Some(&id), &refusal, received_at),
             }
         }
-        Err(refusal) => refuse(&hub, None, &refusal, arrived),
+        Err(refusal) => refuse(&state, None, &refusal, received_at),
     };
-    if hub.is_draining() {
+    if state.is_draining() {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     response
 }
 
-fn refuse(hub: &Hub, id: Option<&str>, refusal: &Refusal, arrived: Instant) -> Response<Body> {
-    hub.metrics().ended(refusal.reason.name());
-    info!(hub.log(), "request.refused"; "request" => id, "reason" => refusal.reason.name(),
-        "detail" => &refusal.detail, "ms" => arrived.elapsed().as_millis() as u64);
-    hub.adapter().refuse(refusal)
+fn refuse(
+    state: &State,
+    id: Option<&str>,
+    refusal: &Refusal,
+    received_at: Instant,
+) -> Response<Body> {
+    state.metrics().record_request(refusal.reason.name());
+    info!(state.log(), "request.refused"; "request" => id, "reason" => refusal.reason.name(),
+        "detail" => &refusal.detail, "ms" => received_at.elapsed().as_millis() as u64);
+    state.adapter().encode_refusal(refusal)
 }
 
-fn decode(hub: &Hub, head: request::Parts) -> Result<Call, Refusal> {
-    if hub.is_closed() {
+fn decode(state: &State, head: request::Parts) -> Result<Call, Refusal> {
+    if state.is_closed() {
         let refusal = Refusal::new(Reason::Draining, "this VM is about to end");
-        return Err(refusal.with_retry_after(ELSEWHERE));
+        return Err(refusal.with_retry_after(FAILOVER_RETRY_AFTER));
     }
-    hub.adapter().call(head)
+    state.adapter().decode_request(head)
 }
 
-/// Finds the route of a request and reads its body.
+/// Authenticates and routes a request, and reads its body.
 async fn prepare(
-    hub: &Hub,
+    state: &State,
     call: Call,
     body: Incoming,
     origin: Origin,
-    arrived: Instant,
+    received_at: Instant,
 ) -> Result<Job, Refusal> {
-    let waited = if origin.layer == Layer::First { WAITED } else { 0.0 };
-    let until = arrived + call.patience.unwrap_or(STARTING).mul_f64(waited);
-    let (table, route) = find(hub, &call, until).await?;
-    let body = read(body, table.limits()).await?;
-    let passed_on = origin.organisation.as_ref();
-    let caller = Caller::identify(&table, &route, &call, (origin.layer, passed_on))?;
+    let wait_fraction = if origin.hop == Hop::Ingress { STARTUP_WAIT_FRACTION } else { 0.0 };
+    let until = received_at + call.timeout.unwrap_or(STARTUP_RETRY_AFTER).mul_f64(wait_fraction);
+    let (table, route) = resolve_route(state, &call, until).await?;
+    let body = read_body(body, table.limits()).await?;
+    let forwarded_organisation = origin.organisation.as_ref();
+    let caller = Caller::identify(&table, &route, &call, (origin.hop, forwarded_organisation))?;
     if !caller.has_home(&route) {
         let text = "its route and its organisation have no home in common";
         return Err(Refusal::new(Reason::HomeUnreachable, text));
     }
-    let charge = match origin.layer {
-        Layer::First => charge(hub, &caller, &call)?,
-        Layer::Forwarded => None,
+    let charge = match origin.hop {
+        Hop::Ingress => charge_quota(state, &caller, &call)?,
+        Hop::Forwarded => None,
     };
-    let service = route.target(hub.draw()).unwrap_or_default().to_owned();
-    let patience = call.patience.map_or(route.timeout, |patience| patience.min(route.timeout));
-    let deadline = arrived + patience;
+    let service = route.target(state.random()).unwrap_or_default().to_owned();
+    let timeout = call.timeout.map_or(route.timeout, |timeout| timeout.min(route.timeout));
+    let deadline = received_at + timeout;
     let rank = table.rank(&route, caller.organisation());
     let urgent = table.goes_first(&route, &service);
-    let Origin { layer, is_repeat, .. } = origin;
+    let Origin { hop, is_retry, .. } = origin;
     Ok(Job {
         call,
         body,
@@ -153,62 +159,66 @@
         rank,
         urgent,
         deadline,
-        arrived,
-        layer,
-        is_repeat,
+        received_at,
+        hop,
+        is_retry,
     })
 }
 
-/// The document in force and the request's route; a VM that has just started waits for what it needs to know.
-async fn find(hub: &Hub, call: &Call, until: Instant) -> Result<(Arc<Table>, Arc<Route>), Refusal> {
+/// Finds the document and route. A VM that is starting waits until they are available.
+async fn resolve_route(
+    state: &State,
+    call: &Call,
+    until: Instant,
+) -> Result<(Arc<Table>, Arc<Route>), Refusal> {
     loop {
-        let found = find_now(hub, call);
+        let found = try_resolve_route(state, call);
         let is_starting =
             |refusal: &Refusal| matches!(refusal.reason, Reason::Starting | Reason::Outdated);
-        if !found.as_ref().is_err_and(is_starting) || !hub.hears_more(until).await {
+        if !found.as_ref().is_err_and(is_starting) || !state.wait_for_update(until).await {
             return found;
         }
     }
 }
 
-fn find_now(hub: &Hub, call: &Call) -> Result<(Arc<Table>, Arc<Route>), Refusal> {
-    let Some(table) = hub.routing().table else {
+fn try_resolve_route(state: &State, call: &Call) -> Result<(Arc<Table>, Arc<Route>), Refusal> {
+    let Some(table) = state.routing().table else {
         let refusal = Refusal::new(Reason::Starting, "this VM has no document yet");
-        return Err(refusal.with_retry_after(STARTING));
+        return Err(refusal.with_retry_after(STARTUP_RETRY_AFTER));
     };
-    let route = route(&table, call)?;
-    if table.needs_key(&route) && !hub.is_current() {
+    let route = match_route(&table, call)?;
+    if table.needs_key(&route) && !state.is_fresh() {
         let text = "this VM can't tell whether the keys that it knows are still good";
-        return Err(Refusal::new(Reason::Outdated, text).with_retry_after(ELSEWHERE));
+        return Err(Refusal::new(Reason::Outdated, text).with_retry_after(FAILOVER_RETRY_AFTER));
     }
     Ok((table, route))
 }
 
-fn route(table: &Table, call: &Call) -> Result<Arc<Route>, Refusal> {
+fn match_route(table: &Table, call: &Call) -> Result<Arc<Route>, Refusal> {
     let found = table.route(&call.host, call.target.path()).cloned();
     found.ok_or_else(|| Refusal::new(Reason::NotFound, "no route takes this host and path"))
 }
 
-/// Takes a request off its organisation's allowance, once, at the VM that its caller asked.
-fn charge(hub: &Hub, caller: &Caller, call: &Call) -> Result<Option<Charge>, Refusal> {
+/// Charges the organisation's allowance, only at the VM that received the request from the caller.
+fn charge_quota(state: &State, caller: &Caller, call: &Call) -> Result<Option<Charge>, Refusal> {
     let Some(organisation) = caller.organisation() else { return Ok(None) };
     let Some(allowance) = &organisation.allowance else { return Ok(None) };
     let charge = Charge {
         organisation: quota::Key::new(&organisation.name),
-        cost: allowance.unit.cost(call.prompt.as_ref().map(Prompt::stated)),
+        cost: allowance.unit.cost(call.prompt.as_ref().map(Prompt::total_tokens)),
     };
-    let admitted = hub.meter().admit(charge.organisation, allowance, charge.cost, Instant::now());
+    let admitted = state.meter().admit(charge.organisation, allowance, charge.cost, Instant::now());
     match admitted {
         Ok(()) => Ok(Some(charge)),
         Err(after) => {
-            let spread = 1.0 + (hub.draw() % 256) as f64 / 512.0;
+            let spread = 1.0 + (state.random() % 256) as f64 / 512.0;
             let text = format!("{} asks for more than its allowance", organisation.name);
             Err(Refusal::new(Reason::Limit, text).with_retry_after(after.mul_f64(spread)))
         }
     }
 }
 
-async fn read(body: Incoming, limits: &Limits) -> Result<Bytes, Refusal> {
+async fn read_body(body: Incoming, limits: &Limits) -> Result<Bytes, Refusal> {
     match time::timeout(limits.head_time, body::read(body, limits.body_bytes)).await {
         Ok(Ok(bytes)) => Ok(bytes),
         Ok(Err(error @ body::Error::TooLarge(_))) => {
@@ -219,58 +229,67 @@
     }
 }
 
-async fn answer(hub: &Arc<Hub>, job: Job, progress: InProgress) -> Response<Body> {
-    let (layer, service, urgent) = (job.layer, job.service.clone(), job.urgent);
-    let arrived = job.arrived;
-    let mut relay = Relay::new(hub.clone(), job);
+async fn respond(state: &Arc<State>, job: Job, guard: RequestGuard) -> Response<Body> {
+    let (hop, service, urgent) = (job.hop, job.service.clone(), job.urgent);
+    let received_at = job.received_at;
+    let mut relay = Relay::new(state.clone(), job);
     let opened = relay.open(None).await;
     let mut response = match opened {
         Ok(opened) => {
-            hub.metrics().first_event(arrived.elapsed());
-            pass_on(hub, relay, opened, progress)
+            state.metrics().observe_first_event(received_at.elapsed());
+            build_response(state, relay, opened, guard)
         }
         Err(refusal) => {
             if let (Some(charge), Ran::No) = (relay.job().charge, refusal.ran) {
-                hub.meter().give_back(charge.organisation, charge.cost);
+                state.meter().give_back(charge.organisation, charge.cost);
             }
-            hub.metrics().ended(refusal.reason.name());
-            info!(hub.log(), "request.ended"; "request" => &relay.job().call.id,
+            state.metrics().record_request(refusal.reason.name());
+            info!(state.log(), "request.ended"; "request" => &relay.job().call.id,
                 "outcome" => refusal.reason.name(), "detail" => &refusal.detail,
                 "ran" => ?refusal.ran, "attempts" => relay.attempts(),
                 "retry_after_ms" => refusal.retry_after.map(|after| after.as_millis() as u64),
-                "ms" => arrived.elapsed().as_millis() as u64);
-            let mut response = hub.adapter().refuse(&refusal);
-            if layer == Layer::Forwarded && relay.has_arrived() {
-                response.headers_mut().insert(headers::ARRIVED, HeaderValue::from_static("1"));
+                "ms" => received_at.elapsed().as_millis() as u64);
+            let mut response = state.adapter().encode_refusal(&refusal);
+            if hop == Hop::Forwarded && relay.has_reached_upstream() {
+                response
+                    .headers_mut()
+                    .insert(headers::REACHED_UPSTREAM, HeaderValue::from_static("1"));
             }
             response
         }
     };
-    if layer == Layer::Forwarded {
-        tell_outlook(hub, &service, urgent, &mut response);
+    if hop == Hop::Forwarded {
+        add_outlook(state, &service, urgent, &mut response);
     }
     response
 }
 
-fn pass_on(hub: &Arc<Hub>, relay: Relay, opened: Opened, progress: InProgress) -> Response<Body> {
-    let body = match opened.content {
-        Content::Stream(source) => Stream::new(hub.clone(), relay, *source, progress).into_body(),
-        Content::Whole(bytes) => {
-            hub.metrics().ended("answered");
-            info!(hub.log(), "request.ended"; "request" => &relay.job().call.id,
+fn build_response(
+    state: &Arc<State>,
+    relay: Relay,
+    opened: OpenResponse,
+    guard: RequestGuard,
+) -> Response<Body> {
+    let body = match opened.body {
+        ResponseBody::Streaming(source) => {
+            Stream::new(state.clone(), relay, *source, guard).into_body()
+        }
+        ResponseBody::Buffered(bytes) => {
+            state.metrics().record_request("answered");
+            info!(state.log(), "request.ended"; "request" => &relay.job().call.id,
                 "outcome" => "answered", "status" => opened.head.status.as_u16(),
                 "attempts" => relay.attempts(),
-                "ms" => relay.job().arrived.elapsed().as_millis() as u64);
+                "ms" => relay.job().received_at.elapsed().as_millis() as u64);
             body::full(bytes)
         }
     };
     Response::from_parts(opened.head, body)
 }
 
-/// The VM that passed the request on learns how this region stands.
-fn tell_outlook(hub: &Hub, service: &str, urgent: bool, response: &mut Response<Body>) {
-    let outlook = hub.place().outlook(service, urgent, Instant::now());
+/// Reports this region's outlook to the forwarding VM.
+fn add_outlook(state: &State, service: &str, urgent: bool, response: &mut Response<Body>) {
+    let outlook = state.place().outlook(service, urgent, Instant::now());
     if let Some(outlook) = outlook {
-        headers::tell_outlook(response.headers_mut(), &outlook);
+        headers::insert_outlook(response.headers_mut(), &outlook);
     }
 }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -1,4 +1,4 @@
-//! One request on its way: attempts until one answers or none may be made any more.
+//! Handles one request: sends attempts until one succeeds or none is allowed any more.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,14 +10,14 @@
 
 use super::Call;
 use super::Caller;
-use super::Hub;
+use super::State;
 use super::attempt;
-use super::attempt::Ended;
-use super::attempt::NotRunAt;
-use super::attempt::Opened;
-use super::claim::Claim;
-use super::claim::Target;
-use super::receive::WAITED;
+use super::attempt::AttemptResult;
+use super::attempt::OpenResponse;
+use super::attempt::Stage;
+use super::receive::STARTUP_WAIT_FRACTION;
+use super::reservation::Reservation;
+use super::reservation::Target;
 use crate::decide::place::Demand;
 use crate::decide::place::Fit;
 use crate::decide::place::Holder;
@@ -32,28 +32,28 @@
 use crate::id;
 use crate::routing::Route;
 
-/// With less time left no attempt is made: its answer would come too late whatever happens.
-const LEAST_LEFT: Duration = Duration::from_millis(15);
-/// Attempts that did not run, at most. Where three upstreams refuse or can't be reached, the fourth will not do better.
-const MOST_NOT_RUN: u32 = 3;
-/// A request that may be repeated waits for an answer for so many times what was expected, and the objective besides,
-/// before another upstream is tried.
-const PATIENCE: u32 = 3;
-/// The soonest that a refused caller is told to come back.
-const SOONEST: Duration = Duration::from_millis(150);
-/// The latest: callers that are told to stay away longer than a third of their time don't come back at all.
-const LATEST: Duration = Duration::from_secs(2);
-
-/// Which VM holds a request.
+/// No attempt is started with less time left, since its response would be late.
+const MIN_REMAINING: Duration = Duration::from_millis(15);
+/// Limit of attempts that were not executed.
+const MAX_NOT_EXECUTED: u32 = 3;
+/// The timeout of a repeatable attempt is this multiple of the expected time plus the route's
+/// objective.
+const TIMEOUT_FACTOR: u32 = 3;
+/// Minimum `Retry-After`.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(150);
+/// Maximum `Retry-After`. Callers do not retry after delays of more than a third of their timeout.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
+
+/// The position of this VM on the path of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Layer {
-    /// The one that its caller asked.
-    First,
-    /// One that another VM passed it on to: it stays in this region, so that no request goes in circles.
+pub enum Hop {
+    /// The VM that received the request from its caller.
+    Ingress,
+    /// A VM to which the request was forwarded. It does not forward it again, which prevents loops.
     Forwarded,
 }
 
-/// What a request took off its organisation's allowance.
+/// An amount charged to an organisation's allowance.
 #[derive(Debug, Clone, Copy)]
 pub struct Charge {
     /// The organisation.
@@ -62,125 +62,125 @@
     pub cost: u64,
 }
 
-/// A request that has been read whole and has a route.
+/// A routed request with its complete body.
 pub struct Job {
     /// The request.
     pub call: Call,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
-    /// Its route.
+    /// The route.
     pub route: Arc<Route>,
-    /// Who sent it.
+    /// The sender.
     pub caller: Caller,
-    /// What it took off an allowance at this VM.
+    /// The amount charged at this VM.
     pub charge: Option<Charge>,
-    /// The service that it goes to.
+    /// The target service.
     pub service: String,
-    /// Its rank among requests that compete; 0 goes first.
+    /// Priority among competing requests; 0 is the highest.
     pub rank: u8,
-    /// Whether no other request to the service goes before it.
+    /// Whether no other request to the service has a higher priority.
     pub urgent: bool,
-    /// When its caller must have the whole answer.
+    /// When the caller must have the whole response.
     pub deadline: Instant,
-    /// When it came.
-    pub arrived: Instant,
-    /// Which VM this is on its way.
-    pub layer: Layer,
-    /// Whether it may have arrived at an upstream before another VM passed it on.
-    pub is_repeat: bool,
+    /// When the request was received.
+    pub received_at: Instant,
+    /// The position of this VM on the request's path.
+    pub hop: Hop,
+    /// Whether the request may have reached an upstream before it was forwarded here.
+    pub is_retry: bool,
 }
 
-/// A request on its way.
+/// The state of a request in progress.
 pub struct Relay {
-    hub: Arc<Hub>,
+    state: Arc<State>,
     job: Job,
     work: Work,
     tried: Vec<id::Upstream>,
     tried_vms: Vec<id::Vm>,
-    /// Regions that had no room for it.
-    refused: Vec<id::Region>,
-    /// Whether it may have arrived at an upstream, so that sending it once more counts as a repeat.
-    arrived: bool,
-    /// Attempts that may have run.
-    ran: u32,
-    /// Attempts that surely did not.
-    not_run: u32,
+    /// Regions that refused the request.
+    refused_regions: Vec<id::Region>,
+    /// Whether it may have reached an upstream, so that the next attempt counts as a retry.
+    reached_upstream: bool,
+    /// Attempts that may have been executed.
+    executed: u32,
+    /// Attempts that were not executed.
+    not_executed: u32,
     retry_after: Option<Duration>,
-    /// An upstream's own error, which its caller gets where no other upstream does better.
-    error: Option<Opened>,
+    /// An upstream's error response, returned if no other upstream succeeds.
+    upstream_error: Option<OpenResponse>,
 }
 
-/// Where the next attempt goes.
-enum Chosen {
-    Here(Fit),
-    There { vm: id::Vm, address: SocketAddr, offer: Offer },
+/// The target of the next attempt.
+enum Placement {
+    Local(Fit),
+    Remote { vm: id::Vm, address: SocketAddr, offer: Offer },
 }
 
-impl Chosen {
+impl Placement {
     const fn expected(&self) -> Duration {
         match self {
-            Self::Here(fit) => fit.expected,
-            Self::There { offer, .. } => offer.expected,
+            Self::Local(fit) => fit.expected,
+            Self::Remote { offer, .. } => offer.expected,
         }
     }
 
     /// The expected time to the last event.
-    const fn whole(&self) -> Duration {
+    const fn expected_total(&self) -> Duration {
         match self {
-            Self::Here(fit) => fit.whole,
-            Self::There { offer, .. } => offer.whole,
+            Self::Local(fit) => fit.whole,
+            Self::Remote { offer, .. } => offer.whole,
         }
     }
 
-    /// The tokens that an upstream is taken to read for it; none where another VM decides that.
-    fn reads(&self) -> Option<u64> {
+    /// Prompt tokens that the upstream has to read; none for remote targets.
+    fn prompt_tokens(&self) -> Option<u64> {
         match self {
-            Self::Here(fit) => Some(fit.reads.get()),
-            Self::There { .. } => None,
+            Self::Local(fit) => Some(fit.reads.get()),
+            Self::Remote { .. } => None,
         }
     }
 
-    /// The requests that run beside it; none where another VM decides that.
-    fn beside(&self) -> Option<u32> {
+    /// Requests running on the upstream; none for remote targets.
+    fn running(&self) -> Option<u32> {
         match self {
-            Self::Here(fit) => Some(fit.running),
-            Self::There { .. } => None,
+            Self::Local(fit) => Some(fit.running),
+            Self::Remote { .. } => None,
         }
     }
 
-    /// The age of what the region's other VMs told of it, in milliseconds; none where this VM decides by its own view.
-    fn told_ms(&self) -> Option<u64> {
+    /// The age of the load data shared by other VMs, in milliseconds; none if only local data was
+    /// used.
+    fn load_age_ms(&self) -> Option<u64> {
         match self {
-            Self::Here(fit) => fit.told.map(|age| age.as_millis() as u64),
-            Self::There { .. } => None,
+            Self::Local(fit) => fit.told.map(|age| age.as_millis() as u64),
+            Self::Remote { .. } => None,
         }
     }
 
-    /// Who it is, for the log.
     fn target(&self) -> Target {
         match self {
-            Self::Here(fit) => Target::Upstream(fit.id.clone()),
-            Self::There { vm, offer, .. } => Target::Vm(offer.region.clone(), vm.clone()),
+            Self::Local(fit) => Target::Upstream(fit.id.clone()),
+            Self::Remote { vm, offer, .. } => Target::Vm(offer.region.clone(), vm.clone()),
         }
     }
 }
 
 impl Relay {
-    /// A request that was sent nowhere yet.
-    pub fn new(hub: Arc<Hub>, job: Job) -> Self {
+    /// Creates a relay without any attempt.
+    pub fn new(state: Arc<State>, job: Job) -> Self {
         let work = job.call.work();
         Self {
-            hub,
+            state,
             work,
             tried: Vec::new(),
             tried_vms: Vec::new(),
-            refused: Vec::new(),
-            arrived: job.is_repeat,
+            refused_regions: Vec::new(),
+            reached_upstream: job.is_retry,
             job,
-            ran: 0,
-            not_run: 0,
+            executed: 0,
+            not_executed: 0,
             retry_after: None,
-            error: None,
+            upstream_error: None,
         }
     }
 
@@ -189,114 +189,115 @@
         &self.job
     }
 
-    /// Whether it may have arrived at an upstream.
-    pub const fn has_arrived(&self) -> bool {
-        self.arrived
+    /// Whether the request may have reached an upstream.
+    pub const fn has_reached_upstream(&self) -> bool {
+        self.reached_upstream
     }
 
-    /// The attempts that were made.
+    /// The number of attempts so far.
     pub const fn attempts(&self) -> u32 {
-        self.ran + self.not_run
+        self.executed + self.not_executed
     }
 
-    /// Makes attempts until an answer has begun, or gives up. With `resume_after`, the answer goes on after that event.
-    pub async fn open(&mut self, resume_after: Option<&str>) -> Result<Opened, Refusal> {
+    /// Sends attempts until a response begins or the request fails. With `resume_after`, the stream
+    /// is resumed after that event.
+    pub async fn open(&mut self, resume_after: Option<&str>) -> Result<OpenResponse, Refusal> {
         let opened = self.make_attempts(resume_after).await;
-        match (opened, self.error.take()) {
+        match (opened, self.upstream_error.take()) {
             (Err(_), Some(error)) => Ok(error),
             (opened, _) => opened,
         }
     }
 
-    async fn make_attempts(&mut self, resume_after: Option<&str>) -> Result<Opened, Refusal> {
+    async fn make_attempts(&mut self, resume_after: Option<&str>) -> Result<OpenResponse, Refusal> {
         loop {
-            let left = self.job.deadline.saturating_duration_since(Instant::now());
-            if left < LEAST_LEFT {
-                return Err(self.give_up(Reason::TooLate, "no time is left"));
+            let remaining = self.job.deadline.saturating_duration_since(Instant::now());
+            if remaining < MIN_REMAINING {
+                return Err(self.refusal(Reason::TooLate, "no time is left"));
             }
-            let Some(chosen) = self.choose() else {
-                if self.may_wait() && self.hub.hears_more(self.waits_until()).await {
+            let Some(placement) = self.choose_target() else {
+                if self.can_wait() && self.state.wait_for_update(self.wait_deadline()).await {
                     continue;
                 }
-                return Err(self.give_up(Reason::NoUpstream, "no upstream can take it now"));
+                return Err(self.refusal(Reason::NoUpstream, "no upstream can take it now"));
             };
-            let most = left.min(self.longest_wait());
-            if chosen.expected() > most {
-                self.retry_after = Some(chosen.expected() - most);
-                self.log_too_late(&chosen, most);
-                return Err(self.give_up(Reason::Overload, "it would be answered too late"));
+            let max_wait = remaining.min(self.max_wait());
+            if placement.expected() > max_wait {
+                self.retry_after = Some(placement.expected() - max_wait);
+                self.log_too_late(&placement, max_wait);
+                return Err(self.refusal(Reason::Overload, "it would be answered too late"));
             }
-            if self.attempts() > 0 && !self.is_still_allowed() {
-                return Err(self.give_up(Reason::Outdated, "its key may have been taken away"));
+            if self.attempts() > 0 && !self.is_caller_still_authorized() {
+                return Err(self.refusal(Reason::Outdated, "its key may have been taken away"));
             }
-            if !self.may_send(&chosen) {
-                return Err(self.give_up(Reason::UpstreamFailed, "no more attempts may be made"));
+            if !self.admit_attempt(&placement) {
+                return Err(self.refusal(Reason::UpstreamFailed, "no more attempts may be made"));
             }
-            match self.attempt(chosen, left, resume_after).await {
-                Ended::Answered(opened) if self.is_worth_another(&opened) => {
-                    self.ran += 1;
-                    self.arrived = true;
-                    self.error = Some(*opened);
+            match self.attempt(placement, remaining, resume_after).await {
+                AttemptResult::Response(opened) if self.should_try_another(&opened) => {
+                    self.executed += 1;
+                    self.reached_upstream = true;
+                    self.upstream_error = Some(*opened);
                     self.log("attempt.error", "the upstream answered with an error");
                 }
-                Ended::Answered(opened) => {
-                    self.ran += 1;
+                AttemptResult::Response(opened) => {
+                    self.executed += 1;
                     return Ok(*opened);
                 }
-                Ended::NotRun { why, retry_after, at } => {
-                    self.not_run += 1;
-                    match at {
-                        NotRunAt::Upstream => self.arrived = true,
-                        NotRunAt::Region { region, arrived } => {
-                            self.refused.push(region);
-                            self.arrived |= arrived;
+                AttemptResult::NotExecuted { reason, retry_after, stage } => {
+                    self.not_executed += 1;
+                    match stage {
+                        Stage::Upstream => self.reached_upstream = true,
+                        Stage::Region { region, reached_upstream } => {
+                            self.refused_regions.push(region);
+                            self.reached_upstream |= reached_upstream;
                         }
-                        NotRunAt::Nowhere => (),
+                        Stage::NotSent => (),
                     }
                     self.retry_after = retry_after.or(self.retry_after);
-                    self.log("attempt.not_run", why);
+                    self.log("attempt.not_run", reason);
                 }
-                Ended::MayHaveRun { why } => {
-                    self.ran += 1;
-                    self.arrived = true;
-                    self.log("attempt.lost", why);
+                AttemptResult::Indeterminate { reason } => {
+                    self.executed += 1;
+                    self.reached_upstream = true;
+                    self.log("attempt.lost", reason);
                     if !self.job.route.kind.is_repeatable() {
-                        return Err(self.give_up(Reason::UpstreamFailed, why));
+                        return Err(self.refusal(Reason::UpstreamFailed, reason));
                     }
                 }
             }
         }
     }
 
-    /// A stream broke off after it had begun.
-    pub fn broke_off(&mut self, why: &'static str) {
-        self.arrived = true;
-        self.log("stream.broke_off", why);
+    /// Records that a stream failed after its head was received.
+    pub fn record_stream_failure(&mut self, reason: &'static str) {
+        self.reached_upstream = true;
+        self.log("stream.broke_off", reason);
     }
 
-    /// Whether the request may still be sent, as far as its caller goes: its key may have been taken away since it came.
-    fn is_still_allowed(&self) -> bool {
-        let Caller::Of { .. } = self.job.caller else { return true };
-        let table = self.hub.routing().table;
+    /// Whether the caller's key is still valid; it may have been revoked since the request arrived.
+    fn is_caller_still_authorized(&self) -> bool {
+        let Caller::Authenticated { .. } = self.job.caller else { return true };
+        let table = self.state.routing().table;
         let is_known = table.is_some_and(|table| self.job.caller.is_known(&table));
-        is_known && (self.job.layer == Layer::Forwarded || self.hub.is_current())
+        is_known && (self.job.hop == Hop::Forwarded || self.state.is_fresh())
     }
 
-    /// Whether it may wait for an upstream to be heard of. The VM that its caller asked waits; one that it was passed on to
-    /// refuses at once, since there may be room elsewhere.
-    fn may_wait(&self) -> bool {
-        self.job.layer == Layer::First && self.attempts() == 0
+    /// Whether the request may wait for an upstream to appear. Forwarded requests are refused at
+    /// once, since another region may have capacity.
+    fn can_wait(&self) -> bool {
+        self.job.hop == Hop::Ingress && self.attempts() == 0
     }
 
-    /// Until when a VM that has just started may wait for an upstream.
-    fn waits_until(&self) -> Instant {
-        let patience = self.job.deadline.saturating_duration_since(self.job.arrived);
-        self.job.arrived + patience.mul_f64(WAITED)
+    /// Until when a request may wait at a VM that is starting.
+    fn wait_deadline(&self) -> Instant {
+        let timeout = self.job.deadline.saturating_duration_since(self.job.received_at);
+        self.job.received_at + timeout.mul_f64(STARTUP_WAIT_FRACTION)
     }
 
-    /// How long the request may be expected to wait for its first event. Plain services answer in a fraction of their
-    /// objective; a mean that a few slow ones have raised says nothing of the next one.
-    fn longest_wait(&self) -> Duration {
+    /// Maximum expected time to the first event. It is unlimited for plain services, since a few
+    /// slow responses would otherwise raise the mean enough to refuse requests.
+    fn max_wait(&self) -> Duration {
         let route = &self.job.route;
         match route.kind.is_stream() {
             true => wait::longest(route.objective, self.job.urgent),
@@ -304,168 +305,176 @@
         }
     }
 
-    /// The attempts that may run. Of the VMs that a request goes through, the one that its caller asked makes further
-    /// attempts: if each did, a request would run on more upstreams than its route allows, and the failing upstreams
-    /// would get the product of all layers' attempts.
-    fn allowed(&self) -> u32 {
-        match self.job.layer {
-            Layer::First => self.job.route.attempts,
-            Layer::Forwarded => 1,
+    /// Maximum number of attempts. Only the VM that received the request from its caller retries;
+    /// retries at each hop would multiply.
+    fn max_attempts(&self) -> u32 {
+        match self.job.hop {
+            Hop::Ingress => self.job.route.attempts,
+            Hop::Forwarded => 1,
         }
     }
 
-    /// Whether one attempt more is allowed by the route and by the budget that all VMs share.
+    /// Whether the route and the shared retry budget allow another attempt.
     ///
-    /// The budget is charged where a request is sent to an upstream: a VM that passes it on sends nothing itself.
-    fn may_send(&self, chosen: &Chosen) -> bool {
-        if self.ran >= self.allowed() || self.not_run >= MOST_NOT_RUN {
+    /// The budget is charged by the VM that sends to the upstream, not by one that forwards the
+    /// request.
+    fn admit_attempt(&self, placement: &Placement) -> bool {
+        if self.executed >= self.max_attempts() || self.not_executed >= MAX_NOT_EXECUTED {
             return false;
         }
-        match chosen {
-            Chosen::There { .. } => true,
-            Chosen::Here(_) if self.arrived => self.hub.may_repeat(&self.job.service),
-            Chosen::Here(_) => {
-                self.hub.first_sent(&self.job.service);
+        match placement {
+            Placement::Remote { .. } => true,
+            Placement::Local(_) if self.reached_upstream => {
+                self.state.allow_retry(&self.job.service)
+            }
+            Placement::Local(_) => {
+                self.state.record_first_attempt(&self.job.service);
                 true
             }
         }
     }
 
-    /// An upstream's own error is passed on, unless another upstream may still do better.
-    fn is_worth_another(&self, opened: &Opened) -> bool {
+    /// Whether to try another upstream after an error response.
+    fn should_try_another(&self, opened: &OpenResponse) -> bool {
         let is_error = opened.head.status.is_server_error();
-        let left = self.job.deadline.saturating_duration_since(Instant::now());
+        let remaining = self.job.deadline.saturating_duration_since(Instant::now());
         is_error
             && self.job.route.kind.is_repeatable()
-            && self.ran + 1 < self.allowed()
-            && left > LEAST_LEFT
+            && self.executed + 1 < self.max_attempts()
+            && remaining > MIN_REMAINING
     }
 
     async fn attempt(
         &mut self,
-        chosen: Chosen,
-        left: Duration,
+        placement: Placement,
+        remaining: Duration,
         resume_after: Option<&str>,
-    ) -> Ended {
-        let patience = self.patience(chosen.expected(), left);
-        let placed = self.claim(&chosen);
-        let terms = attempt::Terms { patience, resume_after, is_repeat: self.arrived };
-        let ended = attempt::run(&self.hub, &self.job, placed, &terms).await;
-        let outcome = match &ended {
-            Ended::NotRun { .. } => "not_run",
-            Ended::MayHaveRun { .. } => "lost",
-            Ended::Answered(_) => "answered",
+    ) -> AttemptResult {
+        let response_timeout = self.attempt_timeout(placement.expected(), remaining);
+        let reserved = self.reserve(&placement);
+        let options =
+            attempt::Options { response_timeout, resume_after, is_retry: self.reached_upstream };
+        let result = attempt::run(&self.state, &self.job, reserved, &options).await;
+        let outcome = match &result {
+            AttemptResult::NotExecuted { .. } => "not_run",
+            AttemptResult::Indeterminate { .. } => "lost",
+            AttemptResult::Response(_) => "answered",
         };
-        self.hub.metrics().attempted(outcome);
-        ended
+        self.state.metrics().record_attempt(outcome);
+        result
     }
 
-    /// Takes the place and notes that it was tried.
-    fn claim(&mut self, chosen: &Chosen) -> (Claim, SocketAddr) {
+    /// Reserves capacity at the target and records it as tried.
+    fn reserve(&mut self, placement: &Placement) -> (Reservation, SocketAddr) {
         let service = &self.job.service;
-        let (target, held, address) = match chosen {
-            Chosen::Here(fit) => {
+        let (target, held, address) = match placement {
+            Placement::Local(fit) => {
                 self.tried.push(fit.id.clone());
-                let held = self.hub.place().sent(fit, &self.work, Instant::now());
+                let held = self.state.place().sent(fit, &self.work, Instant::now());
                 (Target::Upstream(fit.id.clone()), Some(held), fit.address)
             }
-            Chosen::There { vm, address, .. } => {
+            Placement::Remote { vm, address, .. } => {
                 self.tried_vms.push(vm.clone());
-                (chosen.target(), None, *address)
+                (placement.target(), None, *address)
             }
         };
-        info!(self.hub.log(), "request.placed"; "request" => &self.job.call.id,
+        info!(self.state.log(), "request.placed"; "request" => &self.job.call.id,
             "attempt" => self.attempts() + 1, "target" => ?target,
-            "expected_ms" => chosen.expected().as_millis() as u64,
-            "whole_ms" => chosen.whole().as_millis() as u64,
-            "beside" => chosen.beside(), "told_ms" => chosen.told_ms(), "reads" => chosen.reads(),
+            "expected_ms" => placement.expected().as_millis() as u64,
+            "whole_ms" => placement.expected_total().as_millis() as u64,
+            "beside" => placement.running(), "told_ms" => placement.load_age_ms(),
+            "reads" => placement.prompt_tokens(),
             "own" => self.work.own.get(),
             "shared" => self.work.shared.map(|shared| format!("{:x}", shared.key)));
-        (Claim::new(self.hub.clone(), target, service, held), address)
+        (Reservation::new(self.state.clone(), target, service, held), address)
     }
 
-    /// A request that may run once waits to its end for the answer; another one for a while, so that an upstream that
-    /// hangs costs its caller no more than that.
-    fn patience(&self, expected: Duration, left: Duration) -> Duration {
-        let has_another = self.ran + 1 < self.allowed();
+    /// The timeout for the head of the response. It is limited only if another attempt is possible,
+    /// so that a hanging upstream does not use up the caller's time.
+    fn attempt_timeout(&self, expected: Duration, remaining: Duration) -> Duration {
+        let has_another = self.executed + 1 < self.max_attempts();
         if !self.job.route.kind.is_repeatable() || !has_another {
-            return left;
+            return remaining;
         }
-        (expected * PATIENCE + self.job.route.objective).min(left)
+        (expected * TIMEOUT_FACTOR + self.job.route.objective).min(remaining)
     }
 
-    /// The place with the least cost, here or in another region.
-    fn choose(&self) -> Option<Chosen> {
+    /// Chooses the target with the lowest cost, in this region or another one.
+    fn choose_target(&self) -> Option<Placement> {
         let now = Instant::now();
         let (service, route) = (self.job.service.as_str(), &self.job.route);
         let caller = &self.job.caller;
         let is_home = |region: &id::Region| caller.allows(route, region);
-        let allows = |region: &id::Region| is_home(region) && !self.refused.contains(region);
+        let allows =
+            |region: &id::Region| is_home(region) && !self.refused_regions.contains(region);
         let urgent = self.job.urgent;
-        let longest = self.job.deadline.saturating_duration_since(now).min(self.longest_wait());
+        let longest = self.job.deadline.saturating_duration_since(now).min(self.max_wait());
         let (work, bytes) = (self.work, self.job.body.len());
         let passage = Passage { service, work, urgent, bytes, longest, allows: &allows };
-        let is_home = is_home(&self.hub.node().region);
+        let is_home = is_home(&self.state.node().region);
         let shared = self.work.shared.filter(|_| is_home);
-        let weight = shared.and_then(|shared| self.hub.place().weight(service, &shared));
-        let holder = self.hub.regions().holder(&passage, weight, now);
+        let weight = shared.and_then(|shared| self.state.place().weight(service, &shared));
+        let holder = self.state.regions().holder(&passage, weight, now);
         let holds = holder == Holder::Here;
         let tried = &self.tried;
         let demand = Demand { service, work, tried, holds, urgent, longest };
-        let here = if is_home { self.hub.place().choose(&demand, now) } else { None };
-        let offers = match self.job.layer {
-            Layer::First => {
-                let spread = || Duration::from_micros(self.hub.draw() % SPREAD_MICROS);
-                let usual = self.hub.place().usual(service);
-                self.hub.regions().offers(&passage, &holder, &usual, spread, now)
+        let here = if is_home { self.state.place().choose(&demand, now) } else { None };
+        let offers = match self.job.hop {
+            Hop::Ingress => {
+                let spread = || Duration::from_micros(self.state.random() % OFFER_JITTER_MICROS);
+                let usual = self.state.place().usual(service);
+                self.state.regions().offers(&passage, &holder, &usual, spread, now)
             }
-            Layer::Forwarded => Vec::new(),
+            Hop::Forwarded => Vec::new(),
         };
         let cost = here.as_ref().map_or(Duration::MAX, |fit| fit.cost);
         let better = offers.into_iter().take_while(|offer| offer.cost < cost);
-        self.pass_on_to(better).or(here.map(Chosen::Here))
+        self.first_reachable(better).or(here.map(Placement::Local))
     }
 
-    /// The first region of these that has a VM which takes requests.
-    fn pass_on_to(&self, mut offers: impl Iterator<Item = Offer>) -> Option<Chosen> {
+    /// The first of the offered regions that has an available VM.
+    fn first_reachable(&self, mut offers: impl Iterator<Item = Offer>) -> Option<Placement> {
         offers.find_map(|offer| {
-            let (vm, address) = self.hub.vm_in(&offer.region, &self.tried_vms)?;
-            Some(Chosen::There { vm, address, offer })
+            let (vm, address) = self.state.random_vm_in(&offer.region, &self.tried_vms)?;
+            Some(Placement::Remote { vm, address, offer })
         })
     }
 
-    /// The final answer to a request that is given up. It says that nothing ran only where no attempt can have run.
-    fn give_up(&self, reason: Reason, why: &str) -> Refusal {
-        if self.ran > 0 {
+    /// Builds the refusal of a failed request. It states that the request did not run only if no
+    /// attempt can have been executed.
+    fn refusal(&self, reason: Reason, detail: &str) -> Refusal {
+        if self.executed > 0 {
             let reason = match reason {
                 Reason::TooLate => Reason::TooLate,
                 _ => Reason::UpstreamFailed,
             };
-            return Refusal::new(reason, why).with_ran(Ran::Unknown);
+            return Refusal::new(reason, detail).with_ran(Ran::Unknown);
         }
         let reason = if reason == Reason::UpstreamFailed { Reason::Overload } else { reason };
-        let after = self.retry_after.unwrap_or(SOONEST).clamp(SOONEST, LATEST);
-        let spread = 1.0 + (self.hub.draw() % 256) as f64 / 1024.0;
-        Refusal::new(reason, why).with_retry_after(after.mul_f64(spread))
+        let after =
+            self.retry_after.unwrap_or(MIN_RETRY_AFTER).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
+        let spread = 1.0 + (self.state.random() % 256) as f64 / 1024.0;
+        Refusal::new(reason, detail).with_retry_after(after.mul_f64(spread))
     }
 
-    /// What a refusal of a request that can't be in time was decided by.
-    fn log_too_late(&self, chosen: &Chosen, longest: Duration) {
+    /// Logs the estimate that led to a refusal.
+    fn log_too_late(&self, placement: &Placement, max_wait: Duration) {
         let route = &self.job.route;
-        info!(self.hub.log(), "request.too_late"; "request" => &self.job.call.id,
-            "route" => &route.name, "rank" => self.job.rank, "target" => ?chosen.target(),
-            "expected_ms" => chosen.expected().as_millis() as u64,
-            "longest_ms" => longest.as_millis() as u64,
+        info!(self.state.log(), "request.too_late"; "request" => &self.job.call.id,
+            "route" => &route.name, "rank" => self.job.rank, "target" => ?placement.target(),
+            "expected_ms" => placement.expected().as_millis() as u64,
+            "longest_ms" => max_wait.as_millis() as u64,
             "own_tokens" => self.work.own.get(),
             "shared_tokens" => self.work.shared.map(|shared| shared.tokens.get()));
     }
 
-    fn log(&self, event: &'static str, why: &'static str) {
-        info!(self.hub.log(), "{}", event; "request" => &self.job.call.id,
-            "attempt" => self.attempts(), "why" => why,
-            "left_ms" => self.job.deadline.saturating_duration_since(Instant::now()).as_millis() as u64);
+    fn log(&self, event: &'static str, reason: &'static str) {
+        let remaining = self.job.deadline.saturating_duration_since(Instant::now());
+        info!(self.state.log(), "{}", event; "request" => &self.job.call.id,
+            "attempt" => self.attempts(), "why" => reason,
+            "left_ms" => remaining.as_millis() as u64);
     }
 }
 
-/// Regions that are equally good within this are drawn at random.
-const SPREAD_MICROS: u64 = 20_000;
+/// Random jitter that spreads requests over regions of similar cost.
+const OFFER_JITTER_MICROS: u64 = 20_000;
--- /dev/null
+++ b/src/gateway/reservation.rs
@@ -0,0 +1,69 @@
+//! Capacity reserved for a request at an upstream or another region, released on drop.
+
+use std::sync::Arc;
+
+use tokio::time::Instant;
+
+use super::State;
+use crate::decide::place::Held;
+use crate::decide::place::Outcome;
+use crate::id;
+
+/// The target of an attempt.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum Target {
+    /// An upstream of this region.
+    Upstream(id::Upstream),
+    /// An entry VM of another region.
+    Vm(id::Region, id::Vm),
+}
+
+/// Reserved capacity at a target; dropping it reports the outcome.
+pub struct Reservation {
+    state: Arc<State>,
+    target: Target,
+    service: String,
+    held: Option<Held>,
+    outcome: Outcome,
+}
+
+impl Reservation {
+    /// Creates a reservation. If it is dropped before it is completed, the request counts as
+    /// abandoned.
+    pub fn new(state: Arc<State>, target: Target, service: &str, held: Option<Held>) -> Self {
+        let outcome = Outcome::Abandoned;
+        Self { state, target, service: service.to_owned(), held, outcome }
+    }
+
+    /// The target.
+    pub fn target(&self) -> &Target {
+        &self.target
+    }
+
+    /// Records an event of the response, or a complete response.
+    pub fn record_event(&mut self) {
+        if let Some(held) = &mut self.held {
+            self.state.place().event(held, Instant::now());
+        }
+    }
+
+    /// Releases the capacity with the given outcome.
+    pub fn complete(mut self, outcome: Outcome) {
+        self.outcome = outcome;
+    }
+}
+
+impl Drop for Reservation {
+    fn drop(&mut self) {
+        let now = Instant::now();
+        match (&self.target, self.held.take()) {
+            (Target::Upstream(_), Some(held)) => {
+                self.state.place().ended(held, self.outcome, now);
+            }
+            (Target::Vm(region, _), _) => {
+                self.state.regions().ended(region, &self.service, self.outcome, now);
+            }
+            (Target::Upstream(_), None) => (),
+        }
+    }
+}
--- a/src/gateway/hub.rs
+++ b/src/gateway/state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of an entry daemon share.
+//! State shared by the tasks of an entry daemon.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -52,30 +52,29 @@
 
 mod upstreams;
 
-/// Connecting to an upstream or to another VM takes no longer than this: a trip between regions and back takes 110 ms,
-/// and one lost packet is sent again after 200 ms or so.
-const CONNECT: Duration = Duration::from_millis(500);
+/// Covers a round trip between regions and one retransmitted SYN.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A VM that has just started waits so long for what it has to know, with the requests that come meanwhile: links between
-/// regions are there after some 0.3 s, and upstreams check in once a second or so.
-const STARTING: Duration = Duration::from_secs(2);
+/// How long after its start a VM lets requests wait for a document and upstreams. Links between
+/// regions take about 0.3 s, and upstreams check in about once a second.
+const STARTUP_WAIT: Duration = Duration::from_secs(2);
 
-/// What it waits for is looked for this often at least.
-const LOOK: Duration = Duration::from_millis(50);
+/// Maximum interval between checks while waiting.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The routing state in force.
 #[derive(Debug, Clone, Default)]
 pub struct Routing {
-    /// Its number.
+    /// Its revision.
     pub revision: Version,
-    /// The document made ready for lookups; none until there is one.
+    /// The document, indexed for lookups; none until one is received.
     pub table: Option<Arc<Table>>,
-    /// The data centres that get nothing.
+    /// Data centres that get no requests.
     pub evacuated: BTreeSet<id::DataCentre>,
 }
 
 /// The state of an entry daemon.
-pub struct Hub {
+pub struct State {
     node: Arc<Node>,
     seeds: Seeds,
     log: Logger,
@@ -86,37 +85,37 @@
     regions: Mutex<Regions>,
     freshness: Mutex<Freshness>,
     meter: Mutex<Meter>,
-    repeats: Mutex<HashMap<String, Repeats>>,
+    retry_budgets: Mutex<HashMap<String, Repeats>>,
     presence: Mutex<Presence>,
     rng: Mutex<SmallRng>,
     client: Client,
     mesh: OnceLock<Mesh>,
     draining: watch::Sender<bool>,
-    /// Rings when the routing state or the roster has changed.
-    news: watch::Sender<()>,
+    /// Notifies of changes to the routing state and the roster.
+    updates: watch::Sender<()>,
     started: Instant,
     closed: AtomicBool,
     in_progress: AtomicUsize,
-    /// When a request came last, in milliseconds since the start.
+    /// When the last request arrived, in milliseconds since the start.
     last_request: AtomicU64,
     metrics: Metrics,
 }
 
-/// A request in progress; dropping it counts it out.
-pub struct InProgress(Arc<Hub>);
+/// Counts a request as in progress until dropped.
+pub struct RequestGuard(Arc<State>);
 
-impl Drop for InProgress {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.0.in_progress.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-impl Hub {
-    /// A hub that knows nothing yet. `born` is the wall clock in milliseconds since the Unix epoch.
+impl State {
+    /// Creates an empty state. `start_time_ms` is the Unix time in milliseconds.
     pub fn new(
         node: Arc<Node>,
         adapter: Arc<dyn Adapter>,
-        born: u64,
+        start_time_ms: u64,
         seed: u64,
         log: Logger,
     ) -> Self {
@@ -126,7 +125,7 @@
         let presence = Presence {
             vm: node.vm(),
             role: Role::Entry,
-            stamp: Stamp::new(born, 0),
+            stamp: Stamp::new(start_time_ms, 0),
             nonce: seed,
             region: node.region.clone(),
             data_centre: node.data_centre.clone(),
@@ -147,13 +146,13 @@
             regions: Mutex::default(),
             freshness: Mutex::default(),
             meter: Mutex::new(Meter::new(SmallRng::from_rng(&mut rng), excess)),
-            repeats: Mutex::default(),
+            retry_budgets: Mutex::default(),
             presence: Mutex::new(presence),
             rng: Mutex::new(rng),
-            client: Client::new().with_connect(CONNECT),
+            client: Client::new().with_connect(CONNECT_TIMEOUT),
             mesh: OnceLock::new(),
             draining: watch::Sender::new(false),
-            news: watch::Sender::new(()),
+            updates: watch::Sender::new(()),
             started: Instant::now(),
             closed: AtomicBool::new(false),
             in_progress: AtomicUsize::new(0),
@@ -162,8 +161,8 @@
         }
     }
 
-    /// Gives the links.
-    pub fn connect(&self, mesh: Mesh) {
+    /// Sets the links to control VMs.
+    pub fn set_mesh(&self, mesh: Mesh) {
         self.mesh.set(mesh).ok();
     }
 
@@ -172,22 +171,22 @@
         &self.node
     }
 
-    /// The seeds at present.
+    /// The current seeds.
     pub fn seeds(&self) -> &Seeds {
         &self.seeds
     }
 
-    /// Takes newer settings in force; of these only the seeds may change while the daemon runs.
+    /// Applies changed settings; only the seeds can change at run time.
     pub fn reload(&self, node: &Node) {
         self.seeds.reload(node, self.mesh(), &self.log);
     }
 
-    /// The log.
+    /// The logger.
     pub fn log(&self) -> &Logger {
         &self.log
     }
 
-    /// How requests and answers look on the wire.
+    /// The HTTP codec and endpoints of this deployment.
     pub fn adapter(&self) -> &dyn Adapter {
         &*self.adapter
     }
@@ -197,7 +196,7 @@
         &self.metrics
     }
 
-    /// The metrics as text.
+    /// The metrics in text format.
     pub fn metrics_text(&self) -> String {
         let (upstreams, vms) = {
             let merged = self.merged();
@@ -207,7 +206,7 @@
         self.metrics.encode(upstreams, vms, self.in_progress(), version)
     }
 
-    /// The connections to upstreams and other VMs.
+    /// The connection pool for upstreams and other VMs.
     pub fn client(&self) -> &Client {
         &self.client
     }
@@ -233,71 +232,72 @@
         self.merged.lock().expect("no panic while locked")
     }
 
-    /// A random number.
-    pub fn draw(&self) -> u64 {
+    /// Returns a random number.
+    pub fn random(&self) -> u64 {
         self.rng.lock().expect("no panic while locked").random()
     }
 
-    /// This VM leaves: it says so in the directory, and each answer ends its connection.
+    /// Deregisters this VM from the directory and closes each connection after its next response.
     pub fn drain(&self) {
         self.presence.lock().expect("no panic while locked").standing = Standing::Draining;
         self.draining.send_replace(true);
     }
 
-    /// This VM takes no more requests: one that came now might not end before the process is ended by force.
+    /// Stops accepting requests, since a new one might not finish before the process is killed.
     pub fn close(&self) {
         self.closed.store(true, Ordering::Relaxed);
-        // Whoever follows the flag says so to the control VMs at once.
+        // Wakes the tasks that report the change to control VMs.
         self.draining.send_replace(true);
     }
 
-    /// Whether this VM takes no more requests.
+    /// Whether requests are refused because the VM is about to stop.
     pub fn is_closed(&self) -> bool {
         self.closed.load(Ordering::Relaxed)
     }
 
-    /// Whether this VM leaves.
+    /// Whether the VM is draining.
     pub fn is_draining(&self) -> bool {
         *self.draining.borrow()
     }
 
-    /// Waits for a newer routing state or roster while this VM is starting, until that moment; whether to look again.
+    /// While the VM is starting, waits for a new routing state or roster; returns whether to check
+    /// again.
     ///
-    /// Failure: all VMs lose power and come back. Callers that ask in the half second until this VM has heard of a document
-    /// and of upstreams are refused, ask once more, are refused again, and give up on a request that could have run.
-    pub async fn hears_more(&self, until: Instant) -> bool {
-        let until = until.min(self.started + STARTING);
+    /// Guards against refusals after a power failure: requests that arrive before the document and
+    /// the upstreams are known would fail although they could be served.
+    pub async fn wait_for_update(&self, until: Instant) -> bool {
+        let until = until.min(self.started + STARTUP_WAIT);
         if Instant::now() >= until {
             return false;
         }
-        // News that came since the caller looked would be missed; it is found at the next look.
-        let look = until.min(Instant::now() + LOOK);
-        time::timeout_at(look, self.news.subscribe().changed()).await.ok();
+        // An update that preceded the subscription is found at the next poll.
+        let next_poll = until.min(Instant::now() + POLL_INTERVAL);
+        time::timeout_at(next_poll, self.updates.subscribe().changed()).await.ok();
         true
     }
 
-    /// Turns true when this VM leaves.
+    /// Notifies when the VM starts to drain.
     pub fn draining(&self) -> watch::Receiver<bool> {
         self.draining.subscribe()
     }
 
-    /// Whether callers should come here: it knows where requests go and who may ask, and does not leave.
+    /// Whether the directory may list this VM.
     pub fn is_ready(&self) -> bool {
-        !self.is_draining() && self.serves()
+        !self.is_draining() && self.can_serve()
     }
 
-    /// Whether requests that come are served; a VM that leaves goes on for some seconds.
-    fn takes_requests(&self) -> bool {
-        !self.is_closed() && self.serves()
+    /// Whether requests are served; this remains true for some seconds while draining.
+    fn accepts_requests(&self) -> bool {
+        !self.is_closed() && self.can_serve()
     }
 
-    fn serves(&self) -> bool {
+    fn can_serve(&self) -> bool {
         let table = self.routing().table;
-        table.is_some_and(|table| !table.has_organisations() || self.is_current())
+        table.is_some_and(|table| !table.has_organisations() || self.is_fresh())
     }
 
-    /// Whether this VM may act by its document on what organisations' callers show.
-    pub fn is_current(&self) -> bool {
+    /// Whether the document is recent enough to authenticate callers.
+    pub fn is_fresh(&self) -> bool {
         let Some(promised) = self.node.bounds.revocation else { return true };
         self.freshness().is_within(freshness::usable(promised), clock::now())
     }
@@ -310,33 +310,33 @@
         self.freshness.lock().expect("no panic while locked")
     }
 
-    /// Takes a proof that there was no newer routing state.
-    pub fn take_proof(&self, proof: Proof) {
-        let was_current = self.is_current();
-        let held = self.routing().revision;
-        self.freshness().take(proof, held, clock::now());
-        if !was_current && self.is_current() {
+    /// Applies a proof that no newer routing state existed.
+    pub fn apply_proof(&self, proof: Proof) {
+        let was_fresh = self.is_fresh();
+        let revision = self.routing().revision;
+        self.freshness().take(proof, revision, clock::now());
+        if !was_fresh && self.is_fresh() {
             info!(self.log, "routing.proven"; "revision" => %proof.revision,
                 "age_ms" => clock::now().saturating_duration_since(proof.at).as_millis() as u64);
-            self.news.send_replace(());
+            self.updates.send_replace(());
         }
     }
 
-    /// Counts a request in until it is dropped.
-    pub fn enter(self: &Arc<Self>) -> InProgress {
+    /// Counts a request as in progress until the guard is dropped.
+    pub fn track_request(self: &Arc<Self>) -> RequestGuard {
         self.in_progress.fetch_add(1, Ordering::Relaxed);
         let since = self.started.elapsed().as_millis() as u64;
         self.last_request.store(since, Ordering::Relaxed);
-        InProgress(self.clone())
+        RequestGuard(self.clone())
     }
 
-    /// Requests in progress.
+    /// The number of requests in progress.
     pub fn in_progress(&self) -> usize {
         self.in_progress.load(Ordering::Relaxed)
     }
 
-    /// How long no request has come, nor is in progress.
-    pub fn idle_for(&self) -> Duration {
+    /// Time since the last request arrived; zero while any is in progress.
+    pub fn idle_time(&self) -> Duration {
         if self.in_progress() > 0 {
             return Duration::ZERO;
         }
@@ -344,99 +344,103 @@
         self.started.elapsed().saturating_sub(last)
     }
 
-    /// Rings when the routing state or the roster has changed.
-    pub(super) fn news(&self) -> watch::Receiver<()> {
-        self.news.subscribe()
+    /// Notifies of changes to the routing state and the roster.
+    pub(super) fn updates(&self) -> watch::Receiver<()> {
+        self.updates.subscribe()
     }
 
-    /// The next statement of this VM about itself.
-    pub fn state_presence(&self) -> Presence {
-        let ready = self.takes_requests();
+    /// The presence to report next, with an increased sequence number.
+    pub fn next_presence(&self) -> Presence {
+        let ready = self.accepts_requests();
         let mut presence = self.presence.lock().expect("no panic while locked");
         presence.stamp.sequence += 1;
         presence.ready = ready;
         presence.clone()
     }
 
-    /// A control VM knows this VM under that stamp. An earlier start of it had a later clock: this start goes above it, or
-    /// nobody would take its word.
-    pub fn overtake(&self, stamp: Stamp, nonce: u64) {
+    /// Raises the stamp above that of an earlier start whose clock was ahead; otherwise control VMs
+    /// would ignore this VM as outdated.
+    pub fn supersede(&self, stamp: Stamp, nonce: u64) {
         let mut presence = self.presence.lock().expect("no panic while locked");
         if nonce != presence.nonce && stamp >= presence.stamp {
             presence.stamp = Stamp::new(stamp.born + 1, 0);
         }
     }
 
-    /// Takes what a control VM says of upstreams and VMs.
-    pub fn take_roster(&self, from: &id::Vm, epoch: u64, delta: Delta) {
+    /// Applies roster changes from a control VM.
+    pub fn apply_roster(&self, from: &id::Vm, epoch: u64, delta: Delta) {
         self.merged().take(from, epoch, delta, Instant::now());
-        self.sync();
+        self.sync_placement();
     }
 
-    /// A control VM is followed no more.
+    /// Drops the roster of a control VM that is no longer followed.
     pub fn unfollow(&self, vm: &id::Vm) {
         self.merged().unfollow(vm);
-        self.sync();
+        self.sync_placement();
     }
 
-    /// Takes a routing state in force, unless it is older than the present one.
+    /// Applies a routing state unless it is older than the current one.
     ///
-    /// Failure: of two control VMs that are followed one lags, and its older document would send requests back to services
-    /// that were taken away.
-    pub fn take_routing(&self, state: Replicated) {
+    /// Guards against a lagging control VM, whose older document would route requests to removed
+    /// services.
+    pub fn apply_routing(&self, replicated: Replicated) {
         let mut routing = self.routing.lock().expect("no panic while locked");
-        if state.revision <= routing.revision {
+        if replicated.revision <= routing.revision {
             return;
         }
-        let table = state.document.as_ref().map(|document| Arc::new(Table::new(document)));
+        let table = replicated.document.as_ref().map(|document| Arc::new(Table::new(document)));
         let version = table.as_ref().map_or(0, |table| table.version().get());
-        info!(self.log, "routing.in_force"; "revision" => %state.revision, "version" => version,
-            "evacuated" => state.evacuated.len());
-        let evacuated = state.evacuated;
-        *routing = Routing { revision: state.revision, table, evacuated };
+        info!(self.log, "routing.in_force"; "revision" => %replicated.revision, "version" => version,
+            "evacuated" => replicated.evacuated.len());
+        let evacuated = replicated.evacuated;
+        *routing = Routing { revision: replicated.revision, table, evacuated };
         drop(routing);
-        self.sync();
+        self.sync_placement();
     }
 
-    /// Whether a request to the service may be sent once more.
-    pub fn may_repeat(&self, service: &str) -> bool {
+    /// Whether the retry budget of the service allows a retry.
+    pub fn allow_retry(&self, service: &str) -> bool {
         let vms = self.merged().all_vms(Role::Entry).count() as u32;
-        self.with_repeats(service, |repeats| repeats.take(vms, Instant::now()))
+        self.with_retry_budget(service, |budget| budget.take(vms, Instant::now()))
     }
 
-    /// A request to the service is sent for the first time.
-    pub fn first_sent(&self, service: &str) {
-        self.with_repeats(service, |repeats| repeats.first(Instant::now()));
+    /// Records a first attempt, which adds to the retry budget of the service.
+    pub fn record_first_attempt(&self, service: &str) {
+        self.with_retry_budget(service, |budget| budget.first(Instant::now()));
     }
 
-    fn with_repeats<T>(&self, service: &str, act: impl FnOnce(&mut Repeats) -> T) -> T {
+    fn with_retry_budget<T>(&self, service: &str, update: impl FnOnce(&mut Repeats) -> T) -> T {
         let bounds = &self.node.bounds;
         let bound = Bound {
             ratio: bounds.repeat_ratio,
             least: bounds.repeat_least,
             window: bounds.repeat_window,
         };
-        let mut all = self.repeats.lock().expect("no panic while locked");
-        if !all.contains_key(service) {
-            all.insert(service.to_owned(), Repeats::new(bound));
+        let mut budgets = self.retry_budgets.lock().expect("no panic while locked");
+        if !budgets.contains_key(service) {
+            budgets.insert(service.to_owned(), Repeats::new(bound));
         }
-        act(all.get_mut(service).expect("it was just inserted where it was missing"))
+        update(budgets.get_mut(service).expect("it was just inserted where it was missing"))
     }
 
-    /// Where a caller of that region connects for requests to that host.
-    pub fn addresses(&self, region: &id::Region, host: &str) -> Vec<SocketAddr> {
+    /// The entry VMs that a caller in the region should use for the host.
+    pub fn directory_addresses(&self, region: &id::Region, host: &str) -> Vec<SocketAddr> {
         let homes = self.routing().table.map(|table| table.homes(host)).unwrap_or_default();
         let merged = self.merged();
         lookup::addresses(region, &homes, merged.vms(Role::Entry), merged.all_vms(Role::Entry))
     }
 
-    /// How long an answer of the directory may be used.
-    pub fn directory_time(&self) -> Duration {
+    /// How long a directory answer may be cached.
+    pub fn directory_ttl(&self) -> Duration {
         self.node.entry.as_ref().map_or(Duration::ZERO, |entry| entry.directory_time)
     }
 
-    /// An entry VM of another region that takes requests, drawn at random, other than those.
-    pub fn vm_in(&self, region: &id::Region, tried: &[id::Vm]) -> Option<(id::Vm, SocketAddr)> {
+    /// Chooses a random available entry VM of the region that is not in `tried`.
+    pub fn random_vm_in(
+        &self,
+        region: &id::Region,
+        tried: &[id::Vm],
+    ) -> Option<(id::Vm, SocketAddr)> {
         let merged = self.merged();
         let ready = merged.vms(Role::Entry).filter(|vm| {
             vm.region == *region
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -1,4 +1,5 @@
-//! A stream on its way to a caller: whole events as they come, and on at another upstream where one breaks off.
+//! Streams a response to the caller in complete events, and resumes it at another upstream after a
+//! failure.
 
 use std::sync::Arc;
 
@@ -11,30 +12,30 @@
 use tokio::time;
 use tokio::time::Instant;
 
-use super::Hub;
-use super::attempt::Content;
-use super::attempt::Source;
+use super::State;
+use super::attempt::ResponseBody;
+use super::attempt::UpstreamStream;
 use super::events;
-use super::events::Events;
-use super::hub::InProgress;
+use super::events::EventBuffer;
 use super::relay::Relay;
+use super::state::RequestGuard;
 use crate::http::Body;
 use crate::http::body::Broken;
 
-/// A stream on its way to a caller.
+/// A response that is streamed to a caller.
 pub struct Stream {
-    hub: Arc<Hub>,
+    state: Arc<State>,
     relay: Relay,
-    source: Option<Source>,
-    events: Events,
-    /// The first event that another upstream sends must come after this one.
+    source: Option<UpstreamStream>,
+    events: EventBuffer,
+    /// The event after which the new upstream must resume.
     resumed_after: Option<String>,
-    count: u64,
+    event_count: u64,
     outcome: &'static str,
-    _progress: InProgress,
+    _progress: RequestGuard,
 }
 
-/// What came next.
+/// The result of a read.
 enum Next {
     Events(Bytes),
     End,
@@ -42,22 +43,27 @@
 }
 
 impl Stream {
-    /// A stream whose head was passed on.
-    pub fn new(hub: Arc<Hub>, relay: Relay, source: Source, progress: InProgress) -> Self {
+    /// Creates a stream whose response head has been sent.
+    pub fn new(
+        state: Arc<State>,
+        relay: Relay,
+        source: UpstreamStream,
+        progress: RequestGuard,
+    ) -> Self {
         Self {
-            hub,
+            state,
             relay,
             source: Some(source),
-            events: Events::default(),
+            events: EventBuffer::default(),
             resumed_after: None,
-            count: 0,
-            // It stays so if the caller leaves and the stream is dropped.
+            event_count: 0,
+            // Remains if the caller disconnects and the stream is dropped.
             outcome: "abandoned",
             _progress: progress,
         }
     }
 
-    /// The body that carries it.
+    /// Converts the stream to a response body.
     pub fn into_body(self) -> Body {
         let frames = futures::stream::unfold(self, |mut stream| async move {
             let frame = stream.next().await?;
@@ -66,11 +72,11 @@
         StreamBody::new(frames).boxed_unsync()
     }
 
-    /// The next whole events; none at the end. An error breaks the connection off, so that what is not whole never looks
-    /// so.
+    /// Returns the next complete events, or none at the end. An error aborts the connection, so
+    /// that the caller can tell a truncated stream from a complete one.
     async fn next(&mut self) -> Option<Result<Bytes, Broken>> {
         loop {
-            // Only a stream that has ended or failed has no source, and then nothing follows.
+            // Without a source the stream has ended or failed.
             self.source.as_ref()?;
             match self.read().await {
                 Next::Events(bytes) if bytes.is_empty() => (),
@@ -78,14 +84,14 @@
                 Next::End => {
                     self.outcome = "answered";
                     if let Some(source) = self.source.take() {
-                        source.finish(&self.hub);
+                        source.finish(&self.state);
                     }
                     return None;
                 }
-                Next::Broken(why) => {
-                    if let Err(why) = self.go_on(why).await {
+                Next::Broken(reason) => {
+                    if let Err(reason) = self.fail_over(reason).await {
                         self.outcome = "broken";
-                        return Some(Err(Broken(why.to_owned())));
+                        return Some(Err(Broken(reason.to_owned())));
                     }
                 }
             }
@@ -95,53 +101,55 @@
     async fn read(&mut self) -> Next {
         let deadline = self.relay.job().deadline;
         let Some(source) = &mut self.source else { return Next::End };
-        let frame = time::timeout_at(deadline, frame(&mut source.incoming)).await;
+        let frame = time::timeout_at(deadline, next_data(&mut source.incoming)).await;
         let bytes = match frame {
-            Err(_) => return Next::Broken("its time is over"),
+            Err(_) => return Next::Broken("the request deadline has passed"),
             Ok(Some(Err(_))) => return Next::Broken("the connection broke off"),
             Ok(Some(Ok(bytes))) => bytes,
-            Ok(None) if self.events.is_torn() => return Next::Broken("it ended within an event"),
+            Ok(None) if self.events.has_partial() => {
+                return Next::Broken("the stream ended within an event");
+            }
             Ok(None) => return Next::End,
         };
-        let Ok(whole) = self.events.take(bytes) else {
-            return Next::Broken("it is no event stream");
+        let Ok(whole) = self.events.push(bytes) else {
+            return Next::Broken("an event exceeds the size limit");
         };
         if whole.is_empty() {
             return Next::Events(whole);
         }
-        source.claim.event();
-        self.count += 1;
+        source.reservation.record_event();
+        self.event_count += 1;
         if let Some(after) = self.resumed_after.take()
             && !follows(&after, &whole)
         {
-            return Next::Broken("another upstream did not go on behind the last event");
+            return Next::Broken("the resumed stream does not continue after the last event");
         }
         Next::Events(whole)
     }
 
-    /// Goes on at another upstream where the route allows it.
-    async fn go_on(&mut self, why: &'static str) -> Result<(), &'static str> {
-        self.relay.broke_off(why);
-        // The connection closes with this, and the upstream sees that nobody waits any more.
+    /// Resumes the stream at another upstream if the route allows it.
+    async fn fail_over(&mut self, reason: &'static str) -> Result<(), &'static str> {
+        self.relay.record_stream_failure(reason);
+        // Closing the connection cancels the request at the upstream.
         if let Some(source) = self.source.take() {
             source.fail();
         }
         let job = self.relay.job();
         if !job.route.kind.is_repeatable() || Instant::now() >= job.deadline {
-            return Err(why);
+            return Err(reason);
         }
-        self.events.drop_half();
-        let last = self.events.last().map(str::to_owned);
-        let opened = self.relay.open(last.as_deref()).await.map_err(|_| why)?;
-        let Content::Stream(source) = opened.content else { return Err(why) };
+        self.events.discard_partial();
+        let last_id = self.events.last_id().map(str::to_owned);
+        let opened = self.relay.open(last_id.as_deref()).await.map_err(|_| reason)?;
+        let ResponseBody::Streaming(source) = opened.body else { return Err(reason) };
         self.source = Some(*source);
-        self.resumed_after = last;
+        self.resumed_after = last_id;
         Ok(())
     }
 }
 
-/// The next bytes of a body; trailers are passed over.
-async fn frame(incoming: &mut Incoming) -> Option<Result<Bytes, hyper::Error>> {
+/// Returns the next data frame of a body and skips trailers.
+async fn next_data(incoming: &mut Incoming) -> Option<Result<Bytes, hyper::Error>> {
     loop {
         match incoming.frame().await? {
             Ok(frame) => {
@@ -154,7 +162,8 @@
     }
 }
 
-/// Whether the events begin right behind that one. Ids count up by one; where they are no numbers, nothing can be told.
+/// Whether the first event directly follows the given one. Ids that are not numbers are not
+/// checked.
 fn follows(after: &str, whole: &[u8]) -> bool {
     let first = events::first_id(whole).and_then(|id| id.parse::<u64>().ok());
     match (after.parse::<u64>(), first) {
@@ -166,10 +175,10 @@
 impl Drop for Stream {
     fn drop(&mut self) {
         let job = self.relay.job();
-        self.hub.metrics().ended(self.outcome);
-        info!(self.hub.log(), "request.ended"; "request" => &job.call.id, "outcome" => self.outcome,
-            "attempts" => self.relay.attempts(), "events" => self.count,
-            "last" => self.events.last(),
-            "ms" => job.arrived.elapsed().as_millis() as u64);
+        self.state.metrics().record_request(self.outcome);
+        info!(self.state.log(), "request.ended"; "request" => &job.call.id, "outcome" => self.outcome,
+            "attempts" => self.relay.attempts(), "events" => self.event_count,
+            "last" => self.events.last_id(),
+            "ms" => job.received_at.elapsed().as_millis() as u64);
     }
 }
--- a/src/golden/tests.rs
+++ b/src/golden/tests.rs
@@ -174,10 +174,10 @@
     entry.joined();
     check_text("metrics/entry.txt", &in_order(&entry.encode(1, 2, 3)));
     let gateway = gateway::metrics::Metrics::default();
-    gateway.ended("whole");
-    gateway.attempted("whole");
-    gateway.first_event(Duration::from_millis(20));
-    gateway.sharing_dropped();
+    gateway.record_request("whole");
+    gateway.record_attempt("whole");
+    gateway.observe_first_event(Duration::from_millis(20));
+    gateway.record_sharing_drop();
     check_text("metrics/gateway.txt", &in_order(&gateway.encode(1, 2, 3, 4)));
     let control = directory::metrics::Metrics::default();
     control.checked_in();
