--- a/src/directory/daemon.rs
+++ b/src/directory/daemon.rs
@@ -1,4 +1,4 @@
-//! The control daemon: its replica, links and listeners under one supervisor.
+//! The control daemon: its replica, links, listeners and background tasks.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,12 +16,12 @@
 use tokio::task::JoinSet;
 
 use super::Service;
-use super::flood;
-use super::links::Links;
-use super::plan::Found;
+use super::broadcast;
+use super::links::LinkHandler;
+use super::plan::DiscoveredPlan;
 use super::prove;
 use super::service;
-use crate::consensus::Role as Seated;
+use crate::consensus::Role as ReplicaRole;
 use crate::control::Name;
 use crate::control::Routes;
 use crate::control::Seat;
@@ -36,21 +36,21 @@
 use crate::wire::Peer;
 use crate::wire::Role;
 
-/// What is left of the children after this is aborted.
-const LAST: Duration = Duration::from_secs(1);
-/// A leader that stops hands over first; a message there and back takes a trip between regions.
-const HAND_OVER: Duration = Duration::from_millis(300);
+/// Timeout for tasks to end at shutdown.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time for a stopping leader to transfer leadership, which takes a round trip between regions.
+const LEADER_TRANSFER_DELAY: Duration = Duration::from_millis(300);
 
-/// Speaks with operators, upstreams and callers in the words of the place where the daemon runs.
+/// Deployment-specific HTTP endpoints of a control daemon.
 pub trait Adapter: Clone + Send + Sync + 'static {
-    /// Answers an operator or an upstream.
-    fn operate(
+    /// Handles a request of an operator or an upstream.
+    fn handle_operator(
         &self,
         service: Arc<Service>,
         request: Request<Incoming>,
     ) -> BoxFuture<'static, Response<Body>>;
-    /// Tells a caller where to connect.
-    fn look_up(
+    /// Handles a directory lookup by a caller.
+    fn handle_directory(
         &self,
         service: Arc<Service>,
         request: Request<Incoming>,
@@ -61,17 +61,17 @@
 pub struct Daemon {
     service: Arc<Service>,
     supervisor: Supervisor,
-    /// The replica's task; it ends with the daemon.
+    /// The task of the replica, which is aborted with the daemon.
     replica: JoinSet<()>,
     log: Logger,
 }
 
 impl Daemon {
-    /// Starts the daemon. `born` is the wall clock in milliseconds since the Unix epoch.
+    /// Starts the daemon. `start_time_ms` is the Unix time in milliseconds.
     pub async fn start<A: Adapter>(
         node: Arc<Node>,
         adapter: A,
-        born: u64,
+        start_time_ms: u64,
         seed: u64,
         log: Logger,
     ) -> Result<Self, Error> {
@@ -81,28 +81,30 @@
         let directory = listen(control.directory).await?;
         let links = listen((node.ip, node.link_port).into()).await?;
         let routes = Arc::new(Routes::default());
-        let service = Arc::new(Service::new(node.clone(), routes.clone(), born, seed, log.clone()));
+        let service =
+            Arc::new(Service::new(node.clone(), routes.clone(), start_time_ms, seed, log.clone()));
         let peer = Peer::new(node.vm(), Role::Control);
         let book = node.seed_links().map(|(vm, link)| (Peer::new(vm, Role::Control), link));
-        let handler = Arc::new(Links(service.clone()));
+        let handler = Arc::new(LinkHandler(service.clone()));
         let mesh = Mesh::new(peer, node.secret.clone(), book.collect(), handler);
         let shared = Arc::new(seat::Shared {
             me: node.vm(),
-            plan: Box::new(Found(service.clone())),
+            plan: Box::new(DiscoveredPlan(service.clone())),
             routes,
             mesh: mesh.clone(),
             log: log.clone(),
         });
         let folder = control.folder.join(Name::Routing.to_string());
         let seed = seat::seed(&mut SmallRng::seed_from_u64(seed));
-        let (seat, keeper) = Seat::new(shared, Name::Routing, Seated::Voter, folder, seed);
-        service.connect(seat, mesh.clone());
+        let (seat, replica_task) =
+            Seat::new(shared, Name::Routing, ReplicaRole::Voter, folder, seed);
+        service.attach(seat, mesh.clone());
         let mut replica = JoinSet::new();
-        replica.spawn(keeper);
+        replica.spawn(replica_task);
         let mut supervisor = Supervisor::new(log.clone());
-        serve(&mut supervisor, &service, adapter, [operators, directory, links], mesh);
+        spawn_listeners(&mut supervisor, &service, adapter, [operators, directory, links], mesh);
         info!(log, "process.started"; "version" => env!("CARGO_PKG_VERSION"),
-            "region" => %node.region, "data_centre" => %node.data_centre, "born" => born);
+            "region" => %node.region, "data_centre" => %node.data_centre, "born" => start_time_ms);
         Ok(Self { service, supervisor, replica, log })
     }
 
@@ -111,24 +113,24 @@
         &self.service
     }
 
-    /// Ends at once, as a crash would.
+    /// Stops immediately, as a crash would.
     pub fn abort(self) {
         drop(self);
     }
 
-    /// Hands the leadership over and ends.
+    /// Transfers leadership and stops.
     pub async fn stop(mut self) {
         if let Some(group) = self.service.group() {
             group.hand_over(None).await.ok();
         }
-        tokio::time::sleep(HAND_OVER).await;
+        tokio::time::sleep(LEADER_TRANSFER_DELAY).await;
         self.replica.shutdown().await;
-        self.supervisor.finish(LAST).await;
+        self.supervisor.finish(SHUTDOWN_TIMEOUT).await;
         info!(self.log, "process.stopped");
     }
 }
 
-fn serve<A: Adapter>(
+fn spawn_listeners<A: Adapter>(
     supervisor: &mut Supervisor,
     service: &Arc<Service>,
     adapter: A,
@@ -140,11 +142,11 @@
     supervisor.child("links", move || mesh.clone().listen(links.clone(), stop.clone()));
     let operators = Arc::new(operators);
     let stop = supervisor.stop();
-    let (state, speaks) = (service.clone(), adapter.clone());
+    let (state, operator_adapter) = (service.clone(), adapter.clone());
     supervisor.child("operators", move || {
-        let (state, speaks) = (state.clone(), speaks.clone());
+        let (state, operator_adapter) = (state.clone(), operator_adapter.clone());
         server::serve(operators.clone(), stop.clone(), move |request, _| {
-            speaks.operate(state.clone(), request)
+            operator_adapter.handle_operator(state.clone(), request)
         })
     });
     let directory = Arc::new(directory);
@@ -153,17 +155,17 @@
     supervisor.child("directory", move || {
         let (state, adapter) = (state.clone(), adapter.clone());
         server::serve(directory.clone(), stop.clone(), move |request, _| {
-            adapter.look_up(state.clone(), request)
+            adapter.handle_directory(state.clone(), request)
         })
     });
-    task(supervisor, "flood", service, flood::run);
-    task(supervisor, "ticks", service, service::tick);
-    task(supervisor, "proofs", service, prove::run);
-    task(supervisor, "routing", service, service::copy_routing);
-    task(supervisor, "roster", service, service::copy_roster);
+    spawn_task(supervisor, "flood", service, broadcast::run);
+    spawn_task(supervisor, "ticks", service, service::tick);
+    spawn_task(supervisor, "proofs", service, prove::run);
+    spawn_task(supervisor, "routing", service, service::mirror_routing);
+    spawn_task(supervisor, "roster", service, service::save_roster);
 }
 
-fn task<F, R>(supervisor: &mut Supervisor, name: &'static str, service: &Arc<Service>, run: F)
+fn spawn_task<F, R>(supervisor: &mut Supervisor, name: &'static str, service: &Arc<Service>, run: F)
 where
     F: Fn(Arc<Service>, watch::Receiver<bool>) -> R + Send + 'static,
     R: Future<Output = ()> + Send + 'static,
--- a/src/directory/links.rs
+++ b/src/directory/links.rs
@@ -1,4 +1,4 @@
-//! What other processes ask of a control daemon.
+//! Requests and messages from other VMs.
 
 use std::sync::Arc;
 
@@ -14,19 +14,19 @@
 use crate::wire::Request;
 use crate::wire::link::Handler;
 
-/// The handler of a control daemon's links.
-pub struct Links(pub Arc<Service>);
+/// Handles requests and messages on the links of a control daemon.
+pub struct LinkHandler(pub Arc<Service>);
 
-impl Handler for Links {
+impl Handler for LinkHandler {
     fn call(&self, from: Peer, request: Request) -> BoxFuture<'static, Reply> {
         let service = self.0.clone();
         async move {
             match request {
-                Request::Follow(follow) => service.follow(*follow).await,
-                Request::Routing(command) => service.propose_for_peer(command).await,
-                Request::ReadRouting => service.read_for_peer().await,
-                Request::NewestRevision => service.newest_revision_for_peer().await,
-                Request::Identity(Name::Routing) => service.identity(),
+                Request::Follow(follow) => service.handle_follow(*follow).await,
+                Request::Routing(command) => service.handle_proposal(command).await,
+                Request::ReadRouting => service.handle_read().await,
+                Request::NewestRevision => service.handle_newest_revision().await,
+                Request::Identity(Name::Routing) => service.identity_reply(),
                 Request::Join { name: Name::Routing, replica, witness } => {
                     let group = service.group();
                     Reply::Joined(
@@ -48,7 +48,7 @@
                     seat.receive(sender, message);
                 }
             }
-            Cast::Heard(heard) => self.0.heard(*heard, &from),
+            Cast::Heard(heard) => self.0.apply_broadcast(*heard, &from),
             _ => (),
         }
     }
--- a/src/directory/lookup/tests.rs
+++ b/src/directory/lookup/tests.rs
@@ -42,17 +42,16 @@
     assert_eq!(ports_for("r", &["r"], &vms, &vms), [2], "it still takes what is bound");
 }
 
-// A control VM is cut off from all others, and every entry VM falls silent for it. Callers of its data centre still
-// reach it; an empty answer would turn them away from VMs that work.
+// Guards against an empty answer from a control VM that is isolated while the entry VMs still work.
 #[test]
-fn a_vm_that_hears_nobody_names_those_it_knew() {
+fn known_vms_are_returned_when_none_is_heard() {
     let all = [vm("a", "r", 1), vm("c", "s", 3)];
     assert_eq!(ports("r", &[], &all), [1]);
     assert_eq!(ports("t", &[], &all), [1, 3]);
 }
 
-// All VMs of a region are stopped in turn, and for some seconds none of them takes requests. Callers whose requests are
-// bound to homes must not be named a VM of a region that is none of them: their bytes would be where they may not be.
+// Guards against sending home-bound requests to a foreign region while all VMs of the caller's
+// region restart.
 #[test]
 fn homes_are_named_where_the_own_region_has_no_vm() {
     let vms = [vm("a", "r", 1), vm("b", "s", 2), vm("c", "t", 3)];
--- a/src/directory/metrics.rs
+++ b/src/directory/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and gauges of a control daemon.
+//! Prometheus metrics of a control daemon.
 
 use prometheus_client::encoding::text;
 use prometheus_client::metrics::counter::Counter;
@@ -44,12 +44,12 @@
 }
 
 impl Metrics {
-    /// An upstream said something.
-    pub fn checked_in(&self) {
+    /// Counts a statement received directly from an upstream.
+    pub fn record_check_in(&self) {
         self.check_ins.inc();
     }
 
-    /// The metrics as text, with gauges as they stand now.
+    /// Encodes all metrics in the text format, after updating the gauges.
     pub fn encode(
         &self,
         upstreams: usize,
--- a/src/directory/mod.rs
+++ b/src/directory/mod.rs
@@ -1,13 +1,14 @@
-//! The control daemon of a fleet that finds itself: it holds a replica of the routing group, knows who is there, and
-//! tells callers where to connect.
+//! The control daemon: holds a replica of the routing group, tracks membership and answers
+//! directory lookups.
 //!
-//! What must survive (the document in force, evacuated data centres) goes through the group. Who is there does not:
-//! each control VM keeps a [`crate::roster::Table`] of what it hears, and passes on to the others what it heard itself.
-//! So a region that is cut off goes on with the upstreams and VMs that it still hears.
+//! Durable state (the document in force and evacuated data centres) is replicated by the group.
+//! Membership is not: each control VM keeps a [`crate::roster::Table`] and broadcasts the
+//! statements that it received directly. A region that is cut off therefore keeps working with the
+//! upstreams and VMs that it can still reach.
 
-pub mod copy;
+pub mod broadcast;
+pub mod cache;
 pub mod daemon;
-pub mod flood;
 pub mod links;
 pub mod lookup;
 pub mod metrics;
--- a/src/directory/plan.rs
+++ b/src/directory/plan.rs
@@ -1,4 +1,4 @@
-//! Which control VMs hold replicas of the routing group.
+//! Membership plan of the routing group.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -12,33 +12,32 @@
 use crate::control::plan::VOTERS;
 use crate::id;
 
-/// A voter silent for so long is replaced, where a control VM that is not a voter yet waits. A VM that was exchanged
-/// is then made up for while a cut of a few seconds throws nobody out; and a voter that was thrown out too early comes
-/// back as a learner, which costs a copy of the state.
+/// Silence after which a voter is replaced if another control VM is available. It exceeds short
+/// partitions, since a replaced voter has to copy the state again when it returns.
 const REPLACE_AFTER: Duration = Duration::from_secs(10);
 
-/// How often a leader is heard of.
-const HEARTBEAT: Duration = Duration::from_millis(100);
+/// Interval between the leader's heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The shortest silence before an election: six heartbeats, and five trips between regions there and back. Changes wait
-/// for the election, and operators ask again after a second.
-const ELECTION: Duration = Duration::from_millis(600);
+/// Minimum election timeout: six heartbeats, or five round trips between regions. Operators retry
+/// after about a second, so elections must not take much longer.
+const ELECTION_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// The control VMs that were heard of, and the seeds.
-pub struct Found(pub Arc<Service>);
+/// Plans the members among the seeds and the known control VMs.
+pub struct DiscoveredPlan(pub Arc<Service>);
 
-impl Plan for Found {
+impl Plan for DiscoveredPlan {
     fn members(&self, _: &Name) -> Vec<Planned> {
         planned(self.0.control_vms())
     }
 
-    /// The seeds are the same on every VM at the first start, and nobody else may found: an empty disk at any later
-    /// start belongs to a VM that has lost its own, and must join.
+    /// Only seeds found the group, and only at the first start. Later, an empty disk means that the
+    /// VM has lost its data and must join.
     fn founders(&self, _: &Name) -> Vec<Planned> {
         let node = self.0.node();
-        let first = node.control.as_ref().is_some_and(|control| control.found);
+        let may_found = node.control.as_ref().is_some_and(|control| control.found);
         let seeds = node.seed_links().map(|(vm, _)| vm);
-        if first { planned(seeds.collect()) } else { Vec::new() }
+        if may_found { planned(seeds.collect()) } else { Vec::new() }
     }
 
     fn voters(&self, _: &Name) -> usize {
@@ -50,7 +49,7 @@
     }
 
     fn pace(&self) -> Option<(Duration, Duration)> {
-        Some((HEARTBEAT, ELECTION))
+        Some((HEARTBEAT_INTERVAL, ELECTION_TIMEOUT))
     }
 }
 
--- a/src/directory/prove.rs
+++ b/src/directory/prove.rs
@@ -1,4 +1,5 @@
-//! Asking for proofs that this control VM's configuration is the newest one; [`freshness`](crate::decide::freshness) tells why.
+//! Obtains proofs that this control VM holds the newest routing state; see
+//! [`freshness`](crate::decide::freshness).
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,14 +12,14 @@
 use crate::clock;
 use crate::decide::freshness::Proof;
 
-/// A proof is asked for so often: entry VMs use what is left of its time.
-const PERIOD: Duration = Duration::from_millis(300);
-/// After a failure, and so often while none comes.
-const AGAIN: Duration = Duration::from_millis(50);
-/// An answer is waited for so long: two trips between regions, one of them for the majority, and a lost packet.
-const LIMIT: Duration = Duration::from_millis(600);
+/// Renewal interval. Entry VMs use the remaining validity of a proof.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(300);
+/// Retry interval after a failure.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// Timeout for a proof: two round trips between regions and one retransmission.
+const PROOF_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Keeps a fresh proof until told to stop, where settings promise when a change is in force everywhere.
+/// Renews the proof until shutdown, if the settings limit the time to revoke a key.
 pub async fn run(service: Arc<Service>, mut stop: watch::Receiver<bool>) {
     if service.node().bounds.revocation.is_none() {
         stop.wait_for(|stop| *stop).await.ok();
@@ -30,23 +31,23 @@
             proven = prove(&service) => proven,
             _ = stop.wait_for(|stop| *stop) => return,
         };
-        service.note_touch();
-        let pause = if proven { PERIOD } else { AGAIN };
+        service.update_sync_status();
+        let pause = if proven { RENEWAL_INTERVAL } else { RETRY_INTERVAL };
         time::sleep_until(began + pause).await;
     }
 }
 
-/// Asks the leader which revision is the newest one; whether this VM holds it.
+/// Asks the leader for the newest revision; returns whether this VM holds it.
 async fn prove(service: &Service) -> bool {
     let at = clock::now();
-    let until = Instant::now() + LIMIT;
+    let until = Instant::now() + PROOF_TIMEOUT;
     let Ok(Some(revision)) = time::timeout_at(until, service.newest_revision()).await else {
         return false;
     };
-    // The change may be on its way here.
-    if time::timeout_at(until, service.holds(revision)).await.is_err() {
+    // The revision may still be in transit.
+    if time::timeout_at(until, service.wait_for_revision(revision)).await.is_err() {
         return false;
     }
-    service.take_proof(Proof { revision, at });
+    service.apply_proof(Proof { revision, at });
     true
 }
--- a/src/directory/service.rs
+++ b/src/directory/service.rs
@@ -1,4 +1,4 @@
-//! What a control daemon knows and does for operators, upstreams, callers and other VMs.
+//! State of a control daemon, and its operations for operators, upstreams, callers and other VMs.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -14,14 +14,14 @@
 use tokio::time;
 use tokio::time::Instant;
 
-use super::copy;
-use super::copy::Copy;
-use super::flood;
+use super::broadcast;
+use super::cache;
+use super::cache::Cache;
 use super::lookup;
 use super::metrics::Metrics;
 use crate::clock;
 use crate::consensus::Members;
-use crate::consensus::Role as Seated;
+use crate::consensus::Role as ReplicaRole;
 use crate::control::Routes;
 use crate::control::Seat;
 use crate::decide::freshness::Freshness;
@@ -50,46 +50,47 @@
 use crate::wire::message::Followed;
 use crate::wire::message::Heard;
 
-mod proofs;
-
-/// A follower that lacks nothing is answered after this, which also tells it that this VM is alive.
-pub const WATCH: Duration = Duration::from_secs(1);
-/// Where the replica doesn't run, it is looked for this often.
-const LOOK: Duration = Duration::from_millis(50);
-/// A VM says something each [`WATCH`]; one may be lost, and the second may be late by a trip between regions and a
-/// pause of the scheduler.
-const VM_SILENCE: Duration = Duration::from_millis(2700);
-/// An upstream is silent once four of its words are missing: they come seconds late at times, and requests find out
-/// by themselves that an upstream is gone.
-const MISSED_WORDS: u32 = 4;
-/// An upstream that is known from before the start alone is silent once so many of its words are missing.
-const KEPT_WORDS: u32 = 2;
-/// After news of upstreams the copy of them waits so long for more, so that a crowd is written once.
-const COPY_PACE: Duration = Duration::from_millis(500);
-/// Silence is looked for this often.
-const TICK: Duration = Duration::from_millis(250);
-/// A tick that comes so late means that this process stood still.
-const STOOD_STILL: Duration = Duration::from_millis(1500);
+mod freshness;
+
+/// Timeout of a long poll by a follower. The empty response tells it that this VM is alive.
+pub const LONG_POLL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Interval of checks for the replica while it is not running.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Timeout for the presence of a VM, which is sent every [`LONG_POLL_TIMEOUT`]: one may be lost and
+/// the next may be delayed.
+const VM_TIMEOUT: Duration = Duration::from_millis(2700);
+/// Missed check-ins after which an upstream is silent. Check-ins can be seconds late, and requests
+/// detect a failed upstream by themselves.
+const MISSED_CHECK_INS: u32 = 4;
+/// The same for an upstream that was restored from the cache.
+const RESTORED_MISSED_CHECK_INS: u32 = 2;
+/// Delay before the upstreams are saved, so that bursts of changes are written once.
+const ROSTER_SAVE_DELAY: Duration = Duration::from_millis(500);
+/// Interval of checks for silent VMs and upstreams.
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
+/// Delay of a tick beyond which the process is assumed to have been suspended.
+const STALL_THRESHOLD: Duration = Duration::from_millis(1500);
 
 /// The state of a control daemon.
 pub struct Service {
     node: Arc<Node>,
     seeds: Seeds,
     log: Logger,
-    /// Tells this start from others.
+    /// Distinguishes this start from earlier ones.
     epoch: u64,
     table: Mutex<Table>,
-    /// The table's revision, for those who wait for a change.
+    /// The revision of `table`, for followers that wait for a change.
     revision: watch::Sender<u64>,
     routing: watch::Sender<Replicated>,
-    /// Whether the replica hears a leader, and that one a majority, so that what this VM holds is up to date.
-    in_touch: watch::Sender<bool>,
+    /// Whether this VM holds current data: its replica has a leader and, if required, a recent
+    /// proof.
+    up_to_date: watch::Sender<bool>,
     freshness: Mutex<Freshness>,
     presence: Mutex<Presence>,
-    flood: flood::Queue,
+    broadcast: broadcast::Queue,
     routes: Arc<Routes>,
-    copy: Copy<Replicated>,
-    roster_copy: Copy<Vec<Fact<Announcement>>>,
+    routing_cache: Cache<Replicated>,
+    roster_cache: Cache<Vec<Fact<Announcement>>>,
     seat: OnceLock<Seat<State>>,
     mesh: OnceLock<Mesh>,
     started: Instant,
@@ -97,13 +98,20 @@
 }
 
 impl Service {
-    /// A service without a replica or links; `born` is the wall clock in milliseconds, and `nonce` is random.
-    pub fn new(node: Arc<Node>, routes: Arc<Routes>, born: u64, nonce: u64, log: Logger) -> Self {
-        let patience = Patience { upstream: node.check_in * MISSED_WORDS, vm: VM_SILENCE };
+    /// Creates a service without replica and links. `start_time_ms` is the Unix time in
+    /// milliseconds, and `nonce` is random.
+    pub fn new(
+        node: Arc<Node>,
+        routes: Arc<Routes>,
+        start_time_ms: u64,
+        nonce: u64,
+        log: Logger,
+    ) -> Self {
+        let patience = Patience { upstream: node.check_in * MISSED_CHECK_INS, vm: VM_TIMEOUT };
         let presence = Presence {
             vm: node.vm(),
             role: Role::Control,
-            stamp: Stamp::new(born, 0),
+            stamp: Stamp::new(start_time_ms, 0),
             nonce,
             region: node.region.clone(),
             data_centre: node.data_centre.clone(),
@@ -115,16 +123,16 @@
         };
         let folder = node.control.as_ref().map(|control| control.folder.clone());
         let folder = folder.unwrap_or_default();
-        let copy = Copy::<Replicated>::new(&folder, copy::ROUTING);
-        let kept = copy.load(&log);
-        if let Some(kept) = &kept {
-            info!(log, "routing.kept"; "revision" => %kept.revision);
+        let routing_cache = Cache::<Replicated>::new(&folder, cache::ROUTING_FILE);
+        let restored = routing_cache.load(&log);
+        if let Some(restored) = &restored {
+            info!(log, "routing.kept"; "revision" => %restored.revision);
         }
-        let roster_copy = Copy::<Vec<Fact<Announcement>>>::new(&folder, copy::ROSTER);
+        let roster_cache = Cache::<Vec<Fact<Announcement>>>::new(&folder, cache::ROSTER_FILE);
         let mut table = Table::new(patience);
-        if let Some(upstreams) = roster_copy.load(&log) {
+        if let Some(upstreams) = roster_cache.load(&log) {
             info!(log, "roster.kept"; "upstreams" => upstreams.len());
-            table.restore(upstreams, node.check_in * KEPT_WORDS, Instant::now());
+            table.restore(upstreams, node.check_in * RESTORED_MISSED_CHECK_INS, Instant::now());
         }
         let revision = table.revision();
         Self {
@@ -134,13 +142,13 @@
             epoch: nonce,
             table: Mutex::new(table),
             revision: watch::Sender::new(revision),
-            routing: watch::Sender::new(kept.unwrap_or_default()),
-            copy,
-            roster_copy,
-            in_touch: watch::Sender::new(false),
+            routing: watch::Sender::new(restored.unwrap_or_default()),
+            routing_cache,
+            roster_cache,
+            up_to_date: watch::Sender::new(false),
             freshness: Mutex::default(),
             presence: Mutex::new(presence),
-            flood: flood::Queue::default(),
+            broadcast: broadcast::Queue::default(),
             routes,
             seat: OnceLock::new(),
             mesh: OnceLock::new(),
@@ -149,8 +157,8 @@
         }
     }
 
-    /// Gives the replica and the links.
-    pub fn connect(&self, seat: Seat<State>, mesh: Mesh) {
+    /// Attaches the replica and the links.
+    pub fn attach(&self, seat: Seat<State>, mesh: Mesh) {
         self.seat.set(seat).ok();
         self.mesh.set(mesh).ok();
     }
@@ -160,23 +168,23 @@
         &self.node
     }
 
-    /// This VM.
+    /// The id of this VM.
     pub fn vm(&self) -> id::Vm {
         self.node.vm()
     }
 
-    /// The log.
+    /// The logger.
     pub fn log(&self) -> &Logger {
         &self.log
     }
 
-    /// How long an answer of the directory may be used.
-    pub fn directory_time(&self) -> Duration {
+    /// How long a directory answer may be cached.
+    pub fn directory_ttl(&self) -> Duration {
         let control = self.node.control.as_ref();
         control.map_or(Duration::ZERO, |control| control.directory_time)
     }
 
-    /// The metrics as text.
+    /// The metrics in text format.
     pub fn metrics_text(&self) -> String {
         let (upstreams, vms) = {
             let table = self.table();
@@ -187,8 +195,8 @@
         self.metrics.encode(upstreams, vms, version, status.as_ref())
     }
 
-    pub(super) fn flood(&self) -> &flood::Queue {
-        &self.flood
+    pub(super) fn broadcast(&self) -> &broadcast::Queue {
+        &self.broadcast
     }
 
     pub(super) fn mesh(&self) -> Option<&Mesh> {
@@ -207,17 +215,17 @@
         self.started
     }
 
-    /// The replica, while it runs.
+    /// The replica, if it is running.
     pub fn group(&self) -> Option<Group<State>> {
         self.seat.get()?.group()
     }
 
-    /// Takes newer settings in force; of these only the seeds may change while the daemon runs.
+    /// Applies changed settings; only the seeds can change at run time.
     pub fn reload(&self, node: &Node) {
         self.seeds.reload(node, self.mesh(), &self.log);
     }
 
-    /// The control VMs that were heard of and the seeds, this VM among them.
+    /// The known control VMs, including the seeds and this VM.
     pub fn control_vms(&self) -> BTreeSet<id::Vm> {
         let table = self.table.lock().expect("no panic while locked");
         let heard = table.all_vms().filter(|vm| vm.role == Role::Control);
@@ -227,158 +235,160 @@
         vms
     }
 
-    /// An upstream says something of itself.
-    pub fn announce(&self, said: Announcement) {
-        let taken = self.table().announce(said.clone(), Instant::now());
-        self.metrics.checked_in();
+    /// Handles a check-in of an upstream.
+    pub fn announce(&self, announcement: Announcement) {
+        let taken = self.table().announce(announcement.clone(), Instant::now());
+        self.metrics.record_check_in();
         let is_news = taken == Taken::News;
         if is_news {
-            info!(self.log, "upstream.announced"; "upstream" => %said.id, "service" => &said.service,
-                "address" => %said.address, "standing" => ?said.standing, "born" => said.stamp.born,
-                "sequence" => said.stamp.sequence, "cold_ms" => said.cold_left.as_millis() as u64);
-            self.publish();
+            info!(self.log, "upstream.announced"; "upstream" => %announcement.id,
+                "service" => &announcement.service, "address" => %announcement.address,
+                "standing" => ?announcement.standing, "born" => announcement.stamp.born,
+                "sequence" => announcement.stamp.sequence,
+                "cold_ms" => announcement.cold_left.as_millis() as u64);
+            self.notify_followers();
         }
         match taken {
             Taken::Stale => (),
-            Taken::Still => self.flood.upstream_still_there(said),
-            Taken::News => self.flood.announced(said),
+            Taken::Still => self.broadcast.renew_announcement(announcement),
+            Taken::News => self.broadcast.push_announcement(announcement),
         }
     }
 
-    /// An upstream leaves.
-    pub fn leave(&self, upstream: &id::Upstream, born: Option<u64>) {
-        let said = {
+    /// Handles the deregistration of an upstream.
+    pub fn leave(&self, upstream: &id::Upstream, start_time_ms: Option<u64>) {
+        let announcement = {
             let mut table = self.table();
-            table.leave(upstream, born, Instant::now());
+            table.leave(upstream, start_time_ms, Instant::now());
             table.upstream(upstream).cloned()
         };
-        info!(self.log, "upstream.left"; "upstream" => %upstream, "known" => said.is_some());
-        self.publish();
-        if let Some(said) = said {
-            self.flood.announced(said);
+        info!(self.log, "upstream.left"; "upstream" => %upstream, "known" => announcement.is_some());
+        self.notify_followers();
+        if let Some(announcement) = announcement {
+            self.broadcast.push_announcement(announcement);
         }
     }
 
-    /// Where a caller of that region connects for requests to that host.
-    pub fn addresses(&self, region: &id::Region, host: &str) -> Vec<SocketAddr> {
+    /// The entry VMs that a caller in the region should use for the host.
+    pub fn directory_addresses(&self, region: &id::Region, host: &str) -> Vec<SocketAddr> {
         let document = self.routing.borrow().document.clone();
         let homes = document.map(|document| document.homes(host)).unwrap_or_default();
         let table = self.table();
         lookup::addresses(region, &homes, table.present(), table.all_vms())
     }
 
-    /// Waits a moment for anything that a follower lacks.
-    pub(super) async fn follow(&self, follow: Follow) -> Reply {
-        let asked = clock::now();
+    /// Handles a long poll: returns when there is an update for the follower, or at the timeout.
+    pub(super) async fn handle_follow(&self, follow: Follow) -> Reply {
+        let received_at = clock::now();
         let is_current = follow.epoch == self.epoch;
-        let known_as = self.met(follow.presence);
+        let known_as = self.apply_presence(follow.presence);
         let have = if is_current { follow.roster } else { 0 };
         let mut revision = self.revision.subscribe();
         let mut routing = self.routing.subscribe();
-        let mut in_touch = self.in_touch.subscribe();
-        let lacks = async {
+        let mut up_to_date = self.up_to_date.subscribe();
+        let update = async {
             tokio::select! {
-                _ = in_touch.changed() => (),
+                _ = up_to_date.changed() => (),
                 _ = revision.wait_for(|revision| *revision > have) => (),
                 _ = routing.wait_for(|routing| routing.revision > follow.routing) => (),
             }
         };
-        time::timeout(WATCH, lacks).await.ok();
+        time::timeout(LONG_POLL_TIMEOUT, update).await.ok();
         let roster = self.table().delta(have, Instant::now());
         let roster = match (roster, &follow.only_of) {
             (Some(delta), Some(region)) => {
-                let here = |centre: &id::DataCentre| self.node.region_of(centre) == Some(region);
-                Some(delta.only_of(region, here))
+                let is_local =
+                    |centre: &id::DataCentre| self.node.region_of(centre) == Some(region);
+                Some(delta.only_of(region, is_local))
             }
             (roster, _) => roster,
         };
-        // Before the routing state, which is at least as new as the proof says then.
-        let proof = self.freshness().proof().map(|proof| proof.tell(asked));
+        // Read before the routing state, which is then at least as new as the proof.
+        let proof = self.freshness().proof().map(|proof| proof.tell(received_at));
         let routing = self.routing.borrow().clone();
         let routing = (routing.revision > follow.routing).then_some(routing);
-        let in_touch = *self.in_touch.borrow();
+        let in_touch = *self.up_to_date.borrow();
         let epoch = self.epoch;
         let followed = Followed { epoch, roster, routing, in_touch, proof, known_as };
         Reply::Followed(Box::new(followed))
     }
 
-    /// A VM says something of itself, directly; returns the newest stamp that is known of it.
-    fn met(&self, said: Presence) -> Option<(Stamp, u64)> {
+    /// Applies the presence of a VM received directly; returns the newest known stamp of the VM.
+    fn apply_presence(&self, presence: Presence) -> Option<(Stamp, u64)> {
         let (taken, known) = {
             let mut table = self.table();
-            let taken = table.meet(said.clone(), Instant::now());
-            (taken, table.stamp_of(&said.vm, said.role))
+            let taken = table.meet(presence.clone(), Instant::now());
+            (taken, table.stamp_of(&presence.vm, presence.role))
         };
         if taken == Taken::News {
-            info!(self.log, "vm.announced"; "vm" => %said.vm, "role" => ?said.role,
-                "standing" => ?said.standing, "ready" => said.ready);
-            self.publish();
+            info!(self.log, "vm.announced"; "vm" => %presence.vm, "role" => ?presence.role,
+                "standing" => ?presence.standing, "ready" => presence.ready);
+            self.notify_followers();
         }
         match taken {
             Taken::Stale => (),
-            Taken::Still => self.flood.vm_still_there(said),
-            Taken::News => self.flood.met(said),
+            Taken::Still => self.broadcast.renew_presence(presence),
+            Taken::News => self.broadcast.push_presence(presence),
         }
         known
     }
 
-    /// Another control VM passes on what it heard.
-    pub(super) fn heard(&self, heard: Heard, from: &Peer) {
+    /// Applies the statements that another control VM broadcast.
+    pub(super) fn apply_broadcast(&self, heard: Heard, from: &Peer) {
         let now = Instant::now();
-        let mut outdated = Heard::default();
-        let mut news = false;
+        let mut reply = Heard::default();
+        let mut changed = false;
         let mut table = self.table();
-        for said in heard.upstreams {
-            news |= table.announce(said, now) == Taken::News;
+        for announcement in heard.upstreams {
+            changed |= table.announce(announcement, now) == Taken::News;
         }
-        for said in heard.vms {
-            if let (Some(mesh), Some(links)) = (self.mesh(), said.links) {
-                mesh.learn(Peer::new(said.vm.clone(), said.role), links);
+        for presence in heard.vms {
+            if let (Some(mesh), Some(links)) = (self.mesh(), presence.links) {
+                mesh.learn(Peer::new(presence.vm.clone(), presence.role), links);
             }
-            let is_own = said.vm == self.vm() && said.role == Role::Control;
+            let is_own = presence.vm == self.vm() && presence.role == Role::Control;
             if is_own {
-                self.overtake(said.stamp, said.nonce);
+                self.supersede(presence.stamp, presence.nonce);
                 continue;
             }
-            let (vm, role, nonce) = (said.vm.clone(), said.role, said.nonce);
+            let (vm, role, nonce) = (presence.vm.clone(), presence.role, presence.nonce);
             let is_sender = vm == from.vm && role == from.role;
-            let taken = table.meet(said.clone(), now);
-            news |= taken == Taken::News;
-            // Failure: two control VMs that are no seeds hear of each other only through the seeds. If what a control VM
-            // says of itself were not passed on, they could not vote for each other, and a group that lost its seeds
-            // would have no leader although a majority is there.
+            let taken = table.meet(presence.clone(), now);
+            changed |= taken == Taken::News;
+            // Guards against a group without a leader after the loss of the seeds: two control VMs
+            // that are not seeds know each other only if the seeds pass their presence on.
             match taken {
-                Taken::Still if is_sender => self.flood.vm_still_there(said),
-                Taken::News if is_sender => self.flood.met(said),
+                Taken::Still if is_sender => self.broadcast.renew_presence(presence),
+                Taken::News if is_sender => self.broadcast.push_presence(presence),
                 _ => (),
             }
             if is_sender
                 && taken == Taken::Stale
                 && table.stamp_of(&vm, role).is_some_and(|known| known.1 != nonce)
             {
-                outdated.vms.extend(
+                reply.vms.extend(
                     table.all_vms().find(|known| known.vm == vm && known.role == role).cloned(),
                 );
             }
         }
-        let still_there = table.still_there(&heard.alive, now);
-        news |= still_there.is_news;
-        outdated.wanted = still_there.unknown;
+        let renewed = table.still_there(&heard.alive, now);
+        changed |= renewed.is_news;
+        reply.wanted = renewed.unknown;
         let (upstreams, vms) = table.statements(&heard.wanted);
-        outdated.upstreams.extend(upstreams);
-        outdated.vms.extend(vms);
+        reply.upstreams.extend(upstreams);
+        reply.vms.extend(vms);
         drop(table);
-        if news {
-            self.publish();
+        if changed {
+            self.notify_followers();
         }
-        if let (false, Some(mesh)) = (outdated.is_empty(), self.mesh()) {
-            mesh.cast(from, Cast::Heard(Box::new(outdated)));
+        if let (false, Some(mesh)) = (reply.is_empty(), self.mesh()) {
+            mesh.cast(from, Cast::Heard(Box::new(reply)));
         }
     }
 
-    /// Others remember this VM's earlier start with a newer stamp: the clock was set back. This start goes above it,
-    /// or nobody would ever take its word.
-    fn overtake(&self, stamp: Stamp, nonce: u64) {
+    /// Raises the stamp above that of an earlier start whose clock was ahead; otherwise other VMs
+    /// would ignore this VM as outdated.
+    fn supersede(&self, stamp: Stamp, nonce: u64) {
         let mut presence = self.presence.lock().expect("no panic while locked");
         if nonce != presence.nonce && stamp >= presence.stamp {
             presence.stamp = Stamp::new(stamp.born + 1, 0);
@@ -389,7 +399,7 @@
         self.table.lock().expect("no panic while locked")
     }
 
-    fn publish(&self) {
+    fn notify_followers(&self) {
         let revision = self.table().revision();
         self.revision.send_if_modified(|last| {
             let newer = revision > *last;
@@ -398,8 +408,8 @@
         });
     }
 
-    /// This VM says that it is there.
-    fn tell_presence(&self) {
+    /// Renews the presence of this VM.
+    fn announce_presence(&self) {
         let said = {
             let mut presence = self.presence.lock().expect("no panic while locked");
             presence.stamp.sequence += 1;
@@ -407,110 +417,115 @@
         };
         let taken = self.table().meet(said.clone(), Instant::now());
         match taken {
-            Taken::News => self.flood.met(said),
-            _ => self.flood.vm_still_there(said),
+            Taken::News => self.broadcast.push_presence(said),
+            _ => self.broadcast.renew_presence(said),
         }
-        self.publish();
+        self.notify_followers();
     }
 
-    /// Logs who leads and who votes, where that has changed.
-    fn note_group(&self, status: &Status, last: &mut Option<(Term, Option<id::Replica>, Members)>) {
-        self.note_touch();
+    /// Logs changes of leader and voters.
+    fn log_group_change(
+        &self,
+        status: &Status,
+        last: &mut Option<(Term, Option<id::Replica>, Members)>,
+    ) {
+        self.update_sync_status();
         let now = (status.term, status.leader, status.members.clone());
         if last.as_ref() == Some(&now) {
             return;
         }
         let leader = status.leader.and_then(|leader| self.routes.vm(leader));
-        let voters = status.members.with_role(Seated::Voter);
+        let voters = status.members.with_role(ReplicaRole::Voter);
         let voters: Vec<_> = voters.map(|voter| self.routes.vm(voter)).collect();
         info!(self.log, "group.changed"; "term" => %status.term, "leads" => status.leads,
             "leader" => ?leader, "voters" => ?voters, "commit" => %status.commit);
         *last = Some(now);
     }
 
-    pub(super) fn identity(&self) -> Reply {
+    pub(super) fn identity_reply(&self) -> Reply {
         Reply::Identity(self.seat.get().and_then(Seat::identity))
     }
 }
 
-/// Notes who falls silent and says that this VM is there, until told to stop.
+/// Expires silent VMs and upstreams, and renews this VM's presence, until shutdown.
 pub async fn tick(service: Arc<Service>, mut stop: watch::Receiver<bool>) {
-    let mut ticks = time::interval(TICK);
+    let mut ticks = time::interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
     let mut last = Instant::now();
-    let mut told: Option<Instant> = None;
+    let mut announced_at: Option<Instant> = None;
     loop {
         tokio::select! {
             _ = ticks.tick() => (),
             _ = stop.wait_for(|stop| *stop) => return,
         }
         let now = Instant::now();
-        if now.saturating_duration_since(last) > STOOD_STILL {
+        if now.saturating_duration_since(last) > STALL_THRESHOLD {
             info!(service.log, "process.stood_still"; "ms" => (now - last).as_millis() as u64);
             service.table().excuse(now);
         }
         last = now;
-        if told.is_none_or(|told| now.saturating_duration_since(told) >= WATCH) {
-            told = Some(now);
-            service.tell_presence();
+        if announced_at.is_none_or(|at| now.saturating_duration_since(at) >= LONG_POLL_TIMEOUT) {
+            announced_at = Some(now);
+            service.announce_presence();
         }
         if service.table().expire(now) {
-            service.publish();
+            service.notify_followers();
         }
     }
 }
 
-/// Copies the routing state for followers as it changes, until told to stop.
-pub async fn copy_routing(service: Arc<Service>, mut stop: watch::Receiver<bool>) {
+/// Mirrors the replicated routing state for followers until shutdown.
+pub async fn mirror_routing(service: Arc<Service>, mut stop: watch::Receiver<bool>) {
     loop {
         tokio::select! {
-            () = copy_while_running(&service) => (),
+            () = mirror_while_running(&service) => (),
             _ = stop.wait_for(|stop| *stop) => return,
         }
         tokio::select! {
-            () = time::sleep(LOOK) => (),
+            () = time::sleep(POLL_INTERVAL) => (),
             _ = stop.wait_for(|stop| *stop) => return,
         }
     }
 }
 
-/// Keeps what is known of upstreams as it changes, until told to stop.
-pub async fn copy_roster(service: Arc<Service>, mut stop: watch::Receiver<bool>) {
+/// Saves the known upstreams after changes until shutdown.
+pub async fn save_roster(service: Arc<Service>, mut stop: watch::Receiver<bool>) {
     let mut revision = service.revision.subscribe();
     loop {
         tokio::select! {
             changed = revision.changed() => if changed.is_err() { return },
             _ = stop.wait_for(|stop| *stop) => return,
         }
-        time::sleep(COPY_PACE).await;
+        time::sleep(ROSTER_SAVE_DELAY).await;
         revision.mark_unchanged();
         let upstreams = service.table().facts(Instant::now());
-        let (copy, log) = (service.roster_copy.clone(), service.log.clone());
-        let saved = tokio::task::spawn_blocking(move || copy.save(&upstreams, &log));
+        let (cache, log) = (service.roster_cache.clone(), service.log.clone());
+        let saved = tokio::task::spawn_blocking(move || cache.save(&upstreams, &log));
         if let Err(error) = saved.await {
-            warn!(service.log, "copy.not_written"; "file" => copy::ROSTER, "why" => %error);
+            warn!(service.log, "copy.not_written"; "file" => cache::ROSTER_FILE, "why" => %error);
         }
     }
 }
 
-async fn copy_while_running(service: &Service) {
+async fn mirror_while_running(service: &Service) {
     let Some(group) = service.group() else { return };
     let mut status = group.watch();
     let mut last = None;
     loop {
         let now = status.borrow_and_update().clone();
-        service.note_group(&now, &mut last);
+        service.log_group_change(&now, &mut last);
         let have = service.routing.borrow().revision;
-        let look = move |state: &State| (state.revision() > have).then(|| state.replicated());
-        match group.peek(look).await {
+        let newer_than_held =
+            move |state: &State| (state.revision() > have).then(|| state.replicated());
+        match group.peek(newer_than_held).await {
             Ok(Some(newer)) => {
                 info!(service.log, "routing.in_force"; "revision" => %newer.revision,
                     "version" => newer.document.as_ref().map_or(0, |document| document.version.get()));
                 service.routing.send_replace(newer.clone());
-                let (copy, log) = (service.copy.clone(), service.log.clone());
-                let saved = tokio::task::spawn_blocking(move || copy.save(&newer, &log));
+                let (cache, log) = (service.routing_cache.clone(), service.log.clone());
+                let saved = tokio::task::spawn_blocking(move || cache.save(&newer, &log));
                 if let Err(error) = saved.await {
-                    warn!(service.log, "copy.not_written"; "file" => copy::ROUTING, "why" => %error);
+                    warn!(service.log, "copy.not_written"; "file" => cache::ROUTING_FILE, "why" => %error);
                 }
             }
             Ok(None) => (),
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -37,7 +37,8 @@
 const FULL_ROSTER: usize = 0;
 /// The subscription that is active only while no other source is up to date.
 const FALLBACK: usize = 2;
-/// A long poll returns within [`WATCH`](crate::directory::service::WATCH) plus a round trip between
+/// A long poll returns within
+/// [`LONG_POLL_TIMEOUT`](crate::directory::service::LONG_POLL_TIMEOUT) plus a round trip between
 /// regions. After this timeout the control VM is replaced by another one.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1800);
 /// Minimum interval between calls, so that bursts of updates arrive in batches.
--- a/src/golden/tests.rs
+++ b/src/golden/tests.rs
@@ -83,7 +83,7 @@
 fn files_of_control_vms() {
     check_cbor::<routing::state::Replicated>("routing-copy");
     check_cbor::<Vec<roster::Fact<roster::Announcement>>>("roster-copy");
-    let names = [directory::copy::ROUTING, directory::copy::ROSTER];
+    let names = [directory::cache::ROUTING_FILE, directory::cache::ROSTER_FILE];
     check_text("files.txt", &names.join("\n"));
 }
 
@@ -180,7 +180,7 @@
     gateway.record_sharing_drop();
     check_text("metrics/gateway.txt", &in_order(&gateway.encode(1, 2, 3, 4)));
     let control = directory::metrics::Metrics::default();
-    control.checked_in();
+    control.record_check_in();
     check_text("metrics/control.txt", &in_order(&control.encode(1, 2, 3, None)));
 }
 
