--- a/src/golden/tests.rs
+++ b/src/golden/tests.rs
@@ -83,7 +83,7 @@
 fn files_of_control_vms() {
     check_cbor::<routing::state::Replicated>("routing-copy");
     check_cbor::<Vec<roster::Fact<roster::Announcement>>>("roster-copy");
-    let names = [directory::copy::ROUTING, directory::copy::ROSTER];
+    let names = [directory::cache::ROUTING_FILE, directory::cache::ROSTER_FILE];
     check_text("files.txt", &names.join("\n"));
 }
 
@@ -174,13 +174,13 @@
     entry.joined();
     check_text("metrics/entry.txt", &in_order(&entry.encode(1, 2, 3)));
     let gateway = gateway::metrics::Metrics::default();
-    gateway.ended("whole");
-    gateway.attempted("whole");
-    gateway.first_event(Duration::from_millis(20));
-    gateway.sharing_dropped();
+    gateway.record_request("whole");
+    gateway.record_attempt("whole");
+    gateway.observe_first_event(Duration::from_millis(20));
+    gateway.record_sharing_drop();
     check_text("metrics/gateway.txt", &in_order(&gateway.encode(1, 2, 3, 4)));
     let control = directory::metrics::Metrics::default();
-    control.checked_in();
+    control.record_check_in();
     check_text("metrics/control.txt", &in_order(&control.encode(1, 2, 3, None)));
 }
 
