--- a/benches/decide/route.rs
+++ b/benches/decide/route.rs
@@ -9,10 +9,10 @@
 use masticstream::catalogue::Preference;
 use masticstream::catalogue::Repeat;
 use masticstream::decide::order::Demand;
-use masticstream::decide::order::Duty;
 use masticstream::decide::order::Engine;
-use masticstream::decide::order::Pace;
+use masticstream::decide::order::LoadRate;
 use masticstream::decide::order::Placement;
+use masticstream::decide::order::Workload;
 use masticstream::decide::retry::Evidence;
 use masticstream::decide::retry::Failure;
 use masticstream::decide::retry::Layer;
@@ -203,15 +203,15 @@
         slots: Slots::new(8),
         models: [models[number % 20].clone()].into(),
         role: Role::Mixed,
-        room: 1,
+        max_models: 1,
         running: 4,
     };
     let engines: Vec<Engine> = (0..UPSTREAMS).map(engine).collect();
     let mut demand = Demand::new();
     for (number, model) in models.iter().enumerate() {
-        demand.observe(&Duty::new(model.clone()), 100.0 + 20.0 * number as f64, now);
+        demand.observe(&Workload::new(model.clone()), 100.0 + 20.0 * number as f64, now);
     }
-    let mut placement = Placement::new(Pace::new(Rate::per_second(1e9)));
+    let mut placement = Placement::new(LoadRate::new(Rate::per_second(1e9)));
     c.bench_function("order: plan for 850 engines, 20 models", |b| {
         b.iter(|| black_box(placement.plan(&engines, &demand, &[].into(), now)));
     });
--- a/src/decide/order.rs
+++ b/src/decide/order.rs
@@ -1,38 +1,36 @@
-//! Order: which models each engine should hold, and who says so.
+//! Model placement: which models each engine should hold, and which VM may send the commands.
 //!
-//! Load patterns answered, and what happens without:
-//! - *Demand moves between models* over the day. With a fixed placement one model's callers wait while engines of
-//!   another stand idle. Engines are moved to the model whose demand fills its slots.
-//! - *Demand that goes up and down.* A placement that follows each change reloads weights all day, and each reload
-//!   takes an engine out for minutes. Averages, waits before a move and a gap between giving and asking prevent it.
-//! - *A rate-limited weight store.* Many loads at once are all slow; they go one after the other ([`Pace`]).
-//! - *The last holder* of a model in use is never unloaded, and an engine ends what runs there before it is moved.
-//! - *Two that give orders at once*, one of them paused and awake again: see [`Holder`].
+//! - Demand moves between models over the day; engines are moved to the model whose demand fills its slots.
+//! - Loading weights takes an engine out of service for minutes. Averaged demand, a delay before each move and a
+//!   hysteresis margin keep the placement from following every change.
+//! - The weight store is rate-limited, so loads run one after the other ([`LoadRate`]).
+//! - The last engine that holds a model in use is never unloaded, and an engine is drained before it is moved.
+//! - A lease keeps two VMs from sending commands at the same time; see [`LeaseHolder`].
 
 mod demand;
-mod duty;
-mod holder;
-mod pace;
+mod lease;
+mod load_rate;
 mod placement;
+mod workload;
 
 pub use demand::Demand;
-pub use demand::IN_USE;
-pub use duty::Action;
-pub use duty::Duty;
-pub use duty::Engine;
-pub use duty::Step;
-pub use holder::DRIFT;
-pub use holder::Holder;
-pub use holder::Holding;
-pub use holder::Idle;
-pub use holder::LEASE;
-pub use holder::ORDER_LIMIT;
-pub use holder::Permit;
-pub use holder::Turn;
-pub use holder::WAIT;
-pub use holder::Waiting;
-pub use pace::Pace;
+pub use demand::IN_USE_WINDOW;
+pub use lease::Active;
+pub use lease::CLOCK_DRIFT;
+pub use lease::COMMAND_TIMEOUT;
+pub use lease::Idle;
+pub use lease::LEASE_DURATION;
+pub use lease::LeaseHolder;
+pub use lease::LeaseStatus;
+pub use lease::Permit;
+pub use lease::TAKEOVER_DELAY;
+pub use lease::Waiting;
+pub use load_rate::LoadRate;
 pub use placement::Placement;
+pub use workload::Action;
+pub use workload::Engine;
+pub use workload::Step;
+pub use workload::Workload;
 
 #[cfg(test)]
 mod tests;
--- a/src/decide/order/demand.rs
+++ b/src/decide/order/demand.rs
@@ -1,64 +1,63 @@
-//! How many slots each duty needs, smoothed.
+//! Smoothed demand for slots by workload.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-use super::duty::Duty;
+use super::workload::Workload;
 
-/// The time over which demand is averaged. A load takes minutes, so what passes within one can't be answered by it;
-/// a storm lasts hours.
-const MEMORY: Duration = Duration::from_secs(60);
+/// Time constant of the moving average; a load takes minutes, so shorter peaks can't be answered by one.
+const TIME_CONSTANT: Duration = Duration::from_secs(60);
 
-/// How long a duty without any request still counts as in use.
-pub const IN_USE: Duration = Duration::from_secs(3600);
+/// How long a workload without requests still counts as in use.
+pub const IN_USE_WINDOW: Duration = Duration::from_secs(3600);
 
-/// Demand for duties, in slots.
+/// Demand for workloads, in slots.
 #[derive(Debug, Default)]
 pub struct Demand {
-    known: BTreeMap<Duty, Mean>,
+    averages: BTreeMap<Workload, Average>,
 }
 
 #[derive(Debug)]
-struct Mean {
+struct Average {
     slots: f64,
-    last: Instant,
-    used: Instant,
+    updated: Instant,
+    last_used: Instant,
 }
 
 impl Demand {
-    /// Nothing is known.
+    /// Creates an empty record.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// So many slots are in use for a duty or waited for, in the whole region.
-    pub fn observe(&mut self, duty: &Duty, slots: f64, now: Instant) {
-        let fresh = || Mean { slots, last: now, used: now };
-        let mean = self.known.entry(duty.clone()).or_insert_with(fresh);
-        let passed = now.saturating_duration_since(mean.last).as_secs_f64();
-        let weight = 1.0 - (-passed / MEMORY.as_secs_f64()).exp();
-        mean.slots += weight * (slots - mean.slots);
-        mean.last = now;
+    /// Records how many slots are in use or waited for, in the whole region.
+    pub fn observe(&mut self, workload: &Workload, slots: f64, now: Instant) {
+        let first = || Average { slots, updated: now, last_used: now };
+        let average = self.averages.entry(workload.clone()).or_insert_with(first);
+        let elapsed = now.saturating_duration_since(average.updated).as_secs_f64();
+        let weight = 1.0 - (-elapsed / TIME_CONSTANT.as_secs_f64()).exp();
+        average.slots += weight * (slots - average.slots);
+        average.updated = now;
         if slots > 0.0 {
-            mean.used = now;
+            average.last_used = now;
         }
     }
 
-    /// The slots that a duty needs.
-    pub fn slots(&self, duty: &Duty) -> f64 {
-        self.known.get(duty).map_or(0.0, |mean| mean.slots)
+    /// The average number of slots that a workload needs.
+    pub fn slots(&self, workload: &Workload) -> f64 {
+        self.averages.get(workload).map_or(0.0, |average| average.slots)
     }
 
-    /// Whether a duty was asked for lately.
-    pub fn is_in_use(&self, duty: &Duty, now: Instant) -> bool {
-        let used = self.known.get(duty).map(|mean| mean.used);
-        used.is_some_and(|used| now.saturating_duration_since(used) < IN_USE)
+    /// Whether a workload had requests within [`IN_USE_WINDOW`].
+    pub fn is_in_use(&self, workload: &Workload, now: Instant) -> bool {
+        let last_used = self.averages.get(workload).map(|average| average.last_used);
+        last_used.is_some_and(|at| now.saturating_duration_since(at) < IN_USE_WINDOW)
     }
 
-    /// The duties that were ever asked for.
-    pub fn duties(&self) -> impl Iterator<Item = &Duty> {
-        self.known.keys()
+    /// All workloads observed so far.
+    pub fn workloads(&self) -> impl Iterator<Item = &Workload> {
+        self.averages.keys()
     }
 }
--- a/src/decide/order/tests.rs
+++ b/src/decide/order/tests.rs
@@ -1,2 +1,2 @@
-mod holder;
+mod lease;
 mod placement;
--- a/src/decide/order/duty.rs
+++ b/src/decide/order/workload.rs
@@ -1,4 +1,4 @@
-//! What an engine is there for, as the placement sees it.
+//! Workloads, engines and the steps that move one to the other.
 
 use std::collections::BTreeSet;
 
@@ -7,16 +7,16 @@
 use crate::unit::Slots;
 use crate::upstream::Role;
 
-/// A model, and the part of its requests that is run.
+/// A model, and the phase of its requests that is run.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Duty {
+pub struct Workload {
     /// The model.
     pub model: id::Model,
     /// The role.
     pub role: Role,
 }
 
-impl Duty {
+impl Workload {
     /// Whole requests for a model.
     pub fn new(model: id::Model) -> Self {
         Self { model, role: Role::Mixed }
@@ -29,7 +29,7 @@
     }
 }
 
-/// An engine, by its last announcement and load.
+/// An engine, as of its last announcement and load report.
 #[derive(Debug, Clone)]
 pub struct Engine {
     /// The engine.
@@ -41,49 +41,49 @@
     /// Its role.
     pub role: Role,
     /// How many models it can hold at once.
-    pub room: usize,
-    /// Requests inside it, of all VMs.
+    pub max_models: usize,
+    /// Requests running on it, from all VMs.
     pub running: u32,
 }
 
 impl Engine {
-    /// Whether it serves the duty.
-    pub fn serves(&self, duty: &Duty) -> bool {
-        self.role == duty.role && self.models.contains(&duty.model)
+    /// Whether it serves the workload.
+    pub fn serves(&self, workload: &Workload) -> bool {
+        self.role == workload.role && self.models.contains(&workload.model)
     }
 
-    /// The slots that it has for each of its models.
-    pub fn slots_each(&self) -> f64 {
+    /// Its slots, divided evenly among its models.
+    pub fn slots_per_model(&self) -> f64 {
         self.slots.get() as f64 / self.models.len().max(1) as f64
     }
 }
 
-/// What an engine is ordered to do.
+/// A command to an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Load a model, after unloading another one to make room.
+    /// Load a model, after unloading another one if there is no room for both.
     Load {
         /// The model to load.
         model: id::Model,
-        /// The model to unload before.
-        instead_of: Option<id::Model>,
-        /// The size of its weights.
+        /// The model to unload first.
+        unload: Option<id::Model>,
+        /// The size of the weights to load.
         size: Bytes,
     },
-    /// Change role; the models stay.
-    Change {
+    /// Change role; the models stay loaded.
+    ChangeRole {
         /// The new role.
         role: Role,
     },
 }
 
-/// What is to be done about one engine.
+/// A step in moving an engine to another workload.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// No VM sends it new work from now on; what runs there ends first.
+    /// Stop sending it new requests; running ones finish first.
     Drain(id::Upstream),
-    /// It is sent work again: what it was drained for is no longer wanted.
+    /// Send it requests again; the move has finished or was given up.
     Resume(id::Upstream),
-    /// It is idle: give it the order.
-    Order(id::Upstream, Action),
+    /// Send it the command; nothing runs on it.
+    Command(id::Upstream, Action),
 }
