--- a/src/decide/queue.rs
+++ b/src/decide/queue.rs
@@ -1,14 +1,9 @@
-//! Who is served next when requests wait for slots.
+//! Scheduling of requests that wait for slots.
 //!
-//! **Load pattern.** Long briefings among short lookups, one owner that asks for more than all others together,
-//! and batch drafts with hours of slack beside work that somebody waits for.
-//!
-//! **Without it.** In arrival order a short lookup waits behind every briefing before it, the hot owner's backlog
-//! is everybody's wait, and slots are spent on requests whose callers have left.
-//!
-//! **Order of service.** Alerts first. Then the classes share by start-time fair queueing with steep weights, owners
-//! share within a class, and the earliest deadline goes first within an owner. Some slots are kept for short work
-//! and alerts. What can no longer meet its deadline is not run and is handed back at once.
+//! Alerts go first. The other classes share the slots by start-time fair queueing with steep weights, owners share
+//! within a class, and within an owner the earliest deadline goes first. So a short request doesn't wait for every long
+//! one before it, and one owner's backlog doesn't delay the others. Some slots are reserved for short requests and
+//! alerts. A request that can no longer meet its deadline isn't run; it is returned at once.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -18,11 +13,11 @@
 use crate::catalogue::Class;
 use crate::id;
 
-mod band;
 mod bounds;
 mod capacity;
-mod lane;
-mod reserve;
+mod class_queue;
+mod owner_queue;
+mod reservation;
 mod ticket;
 
 pub use bounds::Bounds;
@@ -31,189 +26,190 @@
 pub use ticket::Priority;
 pub use ticket::Ticket;
 
-use band::Band;
-use band::Spot;
-use bounds::Fill;
-use reserve::Reserve;
+use bounds::Usage;
+use class_queue::ClassQueue;
+use class_queue::Handle;
+use reservation::Reservation;
 
 /// Each class's share of the service time while all classes wait, in the order of [`Class::ALL`].
 ///
-/// Alerts go first whatever their share. Short work is all but strictly first, yet long work keeps a ninth and
-/// batch work a hundredth, so that nothing starves.
+/// Alerts have strict priority. The weights of the others put short requests first without starving long and batch
+/// requests.
 const CLASS_WEIGHTS: [u64; Class::COUNT] = [64, 64, 8, 1];
 
-/// Batch work counts as pressing once its slack falls below so many times the time that its backlog takes.
+/// The batch class is urgent once its slack falls below this multiple of the time to process its backlog.
 ///
-/// Derived: pressing batch work shares its slots evenly with long work, which doubles the time that it takes.
-const PRESSING: u32 = 2;
+/// Urgent batch requests share their slots evenly with long requests, which doubles that time.
+const URGENT_SLACK_FACTOR: u32 = 2;
 
-/// The requests that wait on one VM for one set of upstreams.
+/// The requests waiting on one VM for one set of upstreams.
 #[derive(Debug, Default)]
 pub struct Queue {
-    bands: [Band; Class::COUNT],
+    classes: [ClassQueue; Class::COUNT],
     tags: [u64; Class::COUNT],
     virtual_time: u64,
-    spots: HashMap<id::Request, (Class, Spot)>,
-    fill: Fill,
-    reserve: Reserve,
+    handles: HashMap<id::Request, (Class, Handle)>,
+    usage: Usage,
+    reservation: Reservation,
     seq: u64,
-    lapsed: Vec<Ticket>,
+    expired: Vec<Ticket>,
 }
 
 impl Queue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(bounds: Bounds) -> Self {
-        Self { fill: Fill::new(bounds), ..Self::default() }
+        Self { usage: Usage::new(bounds), ..Self::default() }
     }
 
-    /// The requests that wait.
+    /// The number of waiting requests.
     pub fn len(&self) -> usize {
-        self.spots.len()
+        self.handles.len()
     }
 
-    /// The time for which all that waits would occupy a single slot.
+    /// The total expected service time of all waiting requests.
     pub fn work(&self) -> Duration {
-        self.bands.iter().map(Band::work).sum()
+        self.classes.iter().map(ClassQueue::work).sum()
     }
 
-    /// Whether nothing waits.
+    /// Whether no request is waiting.
     pub fn is_empty(&self) -> bool {
-        self.spots.is_empty()
+        self.handles.is_empty()
     }
 
-    /// Whether this ticket could be pushed now.
+    /// Checks whether a ticket can be pushed now.
     pub fn check(&self, ticket: &Ticket, now: Instant) -> Result<(), Refusal> {
-        if self.spots.contains_key(&ticket.request) {
+        if self.handles.contains_key(&ticket.request) {
             return Err(Refusal::Duplicate);
         }
         if ticket.is_too_late(now) {
             return Err(Refusal::TooLate);
         }
-        self.fill.check(ticket)
+        self.usage.check(ticket)
     }
 
-    /// Adds a request that will wait.
+    /// Adds a request.
     pub fn push(&mut self, ticket: Ticket, now: Instant) -> Result<(), Refusal> {
         self.check(&ticket, now)?;
-        self.fill.add(&ticket);
+        self.usage.add(&ticket);
         self.seq += 1;
         let (class, request) = (ticket.class, ticket.request);
         let index = class.index();
-        if self.bands[index].is_empty() {
+        if self.classes[index].is_empty() {
             self.tags[index] = self.tags[index].max(self.virtual_time);
         }
-        self.reserve.add(class, ticket.service, now);
-        let spot = self.bands[index].insert(self.seq, ticket);
-        self.spots.insert(request, (class, spot));
+        self.reservation.add(class, ticket.service, now);
+        let handle = self.classes[index].insert(self.seq, ticket);
+        self.handles.insert(request, (class, handle));
         Ok(())
     }
 
-    /// Takes out the request that starts now; [`Capacity::started`] must follow.
+    /// Removes the next request to start; [`Capacity::started`] must follow.
     pub fn pop(&mut self, now: Instant, capacity: &Capacity) -> Option<Ticket> {
-        self.lapse(now);
+        self.expire(now);
         let class = self.next_class(now, capacity)?;
         let index = class.index();
-        let ticket = self.bands[index].pop()?;
+        let ticket = self.classes[index].pop()?;
         if class != Class::Alert {
             self.virtual_time = self.virtual_time.max(self.tags[index]);
             let weight = self.class_weight(class, now, capacity);
             self.tags[index] += ticket.service.as_nanos() as u64 / weight;
         }
-        self.spots.remove(&ticket.request);
-        self.fill.subtract(&ticket);
+        self.handles.remove(&ticket.request);
+        self.usage.subtract(&ticket);
         Some(ticket)
     }
 
-    /// Puts back a request that was popped and found no place that suits it; others may be popped meanwhile.
+    /// Puts back a popped request that no upstream could take; other requests may have been popped meanwhile.
     ///
-    /// Pushed as if it were new it would be charged a second time, and wait the longer the more often it was tried.
-    pub fn give_back(&mut self, ticket: Ticket, now: Instant, capacity: &Capacity) {
-        self.fill.add(&ticket);
+    /// Refunds the charge of the pop, so that a request isn't delayed further by each attempt to place it.
+    pub fn requeue(&mut self, ticket: Ticket, now: Instant, capacity: &Capacity) {
+        self.usage.add(&ticket);
         self.seq += 1;
         let (class, request) = (ticket.class, ticket.request);
         if class != Class::Alert {
-            let cost = ticket.service.as_nanos() as u64 / self.class_weight(class, now, capacity);
+            let charge = ticket.service.as_nanos() as u64 / self.class_weight(class, now, capacity);
             let tag = &mut self.tags[class.index()];
-            *tag = tag.saturating_sub(cost);
+            *tag = tag.saturating_sub(charge);
         }
-        let spot = self.bands[class.index()].give_back(self.seq, ticket);
-        self.spots.insert(request, (class, spot));
+        let handle = self.classes[class.index()].requeue(self.seq, ticket);
+        self.handles.insert(request, (class, handle));
     }
 
-    /// Takes out a request whose caller has gone.
+    /// Removes a request whose caller has disconnected.
     pub fn cancel(&mut self, request: id::Request) -> Option<Ticket> {
-        let (class, spot) = self.spots.remove(&request)?;
-        let ticket = self.bands[class.index()].remove(spot)?;
-        self.fill.subtract(&ticket);
+        let (class, handle) = self.handles.remove(&request)?;
+        let ticket = self.classes[class.index()].remove(handle)?;
+        self.usage.subtract(&ticket);
         Some(ticket)
     }
 
-    /// Hands over the requests that can no longer meet their deadline: none of them ran, and each is answered at once.
+    /// Returns the requests that can no longer meet their deadline. None of them ran; each must be answered at once.
     pub fn expired(&mut self, now: Instant) -> Vec<Ticket> {
-        self.lapse(now);
-        std::mem::take(&mut self.lapsed)
+        self.expire(now);
+        std::mem::take(&mut self.expired)
     }
 
-    /// When [`Self::expired`] should be called again, if nothing changes before.
+    /// When to call [`Self::expired`] next, if the queue doesn't change before.
     pub fn next_expiry(&self) -> Option<Instant> {
-        self.bands.iter().filter_map(Band::first_latest_start).min()
+        self.classes.iter().filter_map(ClassQueue::first_latest_start).min()
     }
 
-    /// How long a request of this owner and class would wait for a slot.
+    /// Predicts how long a request of this owner and class would wait for a slot.
     pub fn predicted_wait(&self, ticket: &Ticket, capacity: &Capacity, now: Instant) -> Duration {
-        let own = &self.bands[ticket.class.index()];
+        let class_queue = &self.classes[ticket.class.index()];
         let ahead: Duration = Class::ALL
             .into_iter()
             .filter(|&class| class < ticket.class)
-            .map(|class| self.bands[class.index()].work())
+            .map(|class| self.classes[class.index()].work())
             .sum();
-        let ahead = ahead + own.work_ahead(&ticket.owner, ticket.weight);
-        if ahead.is_zero() && self.reserve.allows(ticket.class, capacity, now) {
+        let ahead = ahead + class_queue.work_ahead(&ticket.owner, ticket.weight);
+        if ahead.is_zero() && self.reservation.allows(ticket.class, capacity, now) {
             return Duration::ZERO;
         }
         (ahead + ticket.service).div_f64(self.share(ticket.class, capacity, now) as f64)
     }
 
-    /// The slots that a request of this class may count on.
+    /// The number of slots available to this class.
     pub fn share(&self, class: Class, capacity: &Capacity, now: Instant) -> u64 {
-        self.reserve.share(class, capacity, now)
+        self.reservation.share(class, capacity, now)
     }
 
-    fn lapse(&mut self, now: Instant) {
+    fn expire(&mut self, now: Instant) {
         for class in Class::ALL {
-            while let Some(request) = self.bands[class.index()].first_too_late(now) {
+            while let Some(request) = self.classes[class.index()].first_too_late(now) {
                 let Some(ticket) = self.cancel(request) else { break };
-                self.lapsed.push(ticket);
+                self.expired.push(ticket);
             }
         }
     }
 
     fn next_class(&self, now: Instant, capacity: &Capacity) -> Option<Class> {
-        let waits = |class: Class| {
-            !self.bands[class.index()].is_empty() && self.reserve.allows(class, capacity, now)
+        let can_start = |class: Class| {
+            !self.classes[class.index()].is_empty() && self.reservation.allows(class, capacity, now)
         };
-        if waits(Class::Alert) {
+        if can_start(Class::Alert) {
             return Some(Class::Alert);
         }
         Class::ALL
             .into_iter()
-            .filter(|&class| waits(class))
+            .filter(|&class| can_start(class))
             .min_by_key(|class| self.tags[class.index()])
     }
 
     fn class_weight(&self, class: Class, now: Instant, capacity: &Capacity) -> u64 {
-        if class == Class::Batch && self.is_pressing(now, capacity) {
+        if class == Class::Batch && self.is_batch_urgent(now, capacity) {
             return CLASS_WEIGHTS[Class::Long.index()];
         }
         CLASS_WEIGHTS[class.index()]
     }
 
-    /// Whether batch work would miss deadlines at its usual share.
-    fn is_pressing(&self, now: Instant, capacity: &Capacity) -> bool {
-        let band = &self.bands[Class::Batch.index()];
+    /// Whether batch requests would miss deadlines at their usual weight.
+    fn is_batch_urgent(&self, now: Instant, capacity: &Capacity) -> bool {
+        let class_queue = &self.classes[Class::Batch.index()];
         let slots = self.share(Class::Batch, capacity, now) as u32;
-        let Some(latest_start) = band.first_latest_start() else { return false };
-        latest_start.saturating_duration_since(now) < band.work() * PRESSING / slots
+        let Some(latest_start) = class_queue.first_latest_start() else { return false };
+        latest_start.saturating_duration_since(now)
+            < class_queue.work() * URGENT_SLACK_FACTOR / slots
     }
 }
 
--- a/src/decide/queue/bounds.rs
+++ b/src/decide/queue/bounds.rs
@@ -1,4 +1,4 @@
-//! How much may wait.
+//! Limits on the number and size of waiting requests.
 
 use std::collections::HashMap;
 
@@ -9,27 +9,26 @@
 use crate::id;
 use crate::unit::Bytes;
 
-/// The part of the bounds that each class may fill, in eighths, in the order of [`Class::ALL`].
+/// The fraction of the queue that each class may fill, in eighths, in the order of [`Class::ALL`].
 ///
-/// A flood of batch work fills half of the queue; an alert still finds room behind a flood of all others.
-const FILL_EIGHTHS: [u64; Class::COUNT] = [8, 7, 6, 4];
+/// Batch requests fill at most half of the queue, and some room always remains for alerts.
+const CLASS_LIMIT_EIGHTHS: [u64; Class::COUNT] = [8, 7, 6, 4];
 
-/// How much may wait, in all and of one owner.
+/// Limits of the queue, in total and for one owner.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// Requests in all.
+    /// Maximum number of requests.
     pub count: u64,
-    /// Bytes in all.
+    /// Maximum number of bytes.
     pub bytes: Bytes,
-    /// Requests of one owner.
+    /// Maximum number of requests of one owner.
     pub owner_count: u64,
-    /// Bytes of one owner.
+    /// Maximum number of bytes of one owner.
     pub owner_bytes: Bytes,
 }
 
 impl Default for Bounds {
-    /// Derived from 256 MB for each VM: 64 MiB of waiting bodies, and an eighth of either bound for one owner,
-    /// so that no single owner can fill the queue.
+    /// Sized for a VM with 256 MB of memory: 64 MiB of waiting bodies. One owner may fill an eighth of the queue.
     fn default() -> Self {
         Self {
             count: 16_384,
@@ -40,24 +39,24 @@
     }
 }
 
-/// Why a request may not wait.
+/// Why a request can't be queued.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Refusal {
-    /// As much waits as may.
+    /// The queue is full.
     #[error("the queue is full")]
     Full,
-    /// As much waits as one owner may have waiting.
+    /// The owner's part of the queue is full.
     #[error("the owner's part of the queue is full")]
     OwnerFull,
-    /// The request waits already.
+    /// The request is already in the queue.
     #[error("the request waits already")]
     Duplicate,
-    /// The deadline can't be met even by a start at once.
+    /// The deadline can't be met, even if the request starts at once.
     #[error("the deadline can't be met")]
     TooLate,
 }
 
-/// Requests and bytes that wait.
+/// A number of requests and their total size.
 #[derive(Debug, Clone, Copy, Default)]
 struct Amount {
     count: u64,
@@ -76,23 +75,23 @@
     }
 }
 
-/// What waits, held against the bounds.
+/// The current usage of the queue, in total and by owner.
 #[derive(Debug, Default)]
-pub struct Fill {
+pub struct Usage {
     bounds: Bounds,
     total: Amount,
     owners: HashMap<id::Owner, Amount>,
 }
 
-impl Fill {
-    /// Nothing waits yet.
+impl Usage {
+    /// Creates an empty record.
     pub fn new(bounds: Bounds) -> Self {
         Self { bounds, ..Self::default() }
     }
 
-    /// Whether this ticket may wait too.
+    /// Checks whether a ticket fits within the limits.
     pub fn check(&self, ticket: &Ticket) -> Result<(), Refusal> {
-        let eighths = FILL_EIGHTHS[ticket.class.index()];
+        let eighths = CLASS_LIMIT_EIGHTHS[ticket.class.index()];
         let owner = self.owners.get(&ticket.owner).copied().unwrap_or_default();
         let size = ticket.size.get();
         let owner_full = owner.count >= self.bounds.owner_count
@@ -105,13 +104,13 @@
         if full { Err(Refusal::Full) } else { Ok(()) }
     }
 
-    /// Counts a ticket in.
+    /// Adds a ticket to the usage.
     pub fn add(&mut self, ticket: &Ticket) {
         self.total.add(ticket.size);
         self.owners.entry(ticket.owner.clone()).or_default().add(ticket.size);
     }
 
-    /// Counts a ticket out.
+    /// Removes a ticket from the usage.
     pub fn subtract(&mut self, ticket: &Ticket) {
         self.total.subtract(ticket.size);
         let Some(owner) = self.owners.get_mut(&ticket.owner) else { return };
--- a/src/decide/queue/capacity.rs
+++ b/src/decide/queue/capacity.rs
@@ -1,4 +1,4 @@
-//! The slots that a VM may use, and what runs on them.
+//! The slots that a VM may use, and the requests running on them.
 
 use crate::catalogue::Class;
 use crate::unit::Slots;
@@ -11,12 +11,12 @@
 }
 
 impl Capacity {
-    /// So many slots, all of them free.
+    /// Creates a capacity with all slots free.
     pub fn new(slots: Slots) -> Self {
         Self { slots: slots.get(), running: [0; Class::COUNT] }
     }
 
-    /// The slots, free or not.
+    /// The total number of slots.
     pub fn slots(&self) -> Slots {
         Slots::new(self.slots)
     }
@@ -26,24 +26,24 @@
         self.slots = slots.get();
     }
 
-    /// A request of this class was sent to an upstream.
+    /// Records that a request of this class was sent to an upstream.
     pub fn started(&mut self, class: Class) {
         self.running[class.index()] += 1;
     }
 
-    /// A request of this class no longer occupies its slot.
+    /// Records that a request of this class no longer occupies its slot.
     pub fn finished(&mut self, class: Class) {
         let running = &mut self.running[class.index()];
         *running = running.saturating_sub(1);
     }
 
-    /// The requests that run, of all classes.
+    /// The number of occupied slots.
     pub fn busy(&self) -> Slots {
         Slots::new(self.running.iter().sum())
     }
 
-    /// The long and batch requests that run: they hold their slots for minutes.
-    pub fn held_long(&self) -> Slots {
+    /// The number of slots occupied by long and batch requests.
+    pub fn running_long(&self) -> Slots {
         Slots::new(self.running[Class::Long.index()..].iter().sum())
     }
 
--- a/src/decide/queue/lane.rs
+++ b/src/decide/queue/owner_queue.rs
@@ -1,4 +1,4 @@
-//! The waiting requests of one owner in one band, the earliest deadline first.
+//! The waiting requests of one owner in one class, the earliest deadline first.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,59 +8,59 @@
 use crate::decide::queue::Ticket;
 use crate::id;
 
-/// A ticket's place in its lane: by deadline, and by arrival among equal deadlines.
-pub type Place = (Instant, u64);
+/// The sort key of a ticket: its deadline, then its order of arrival.
+pub type Key = (Instant, u64);
 
-/// The waiting requests of one owner, and the owner's account of virtual time.
+/// The waiting requests of one owner, with its start tag.
 #[derive(Debug)]
-pub struct Lane {
-    /// Whose requests they are.
+pub struct OwnerQueue {
+    /// The owner.
     pub owner: id::Owner,
     /// The virtual time at which the next ticket starts.
     pub tag: u64,
-    /// The owner's share, as the last ticket gave it.
+    /// The owner's weight, from its last ticket.
     pub weight: u32,
-    /// The expected service time of all that waits here.
+    /// The expected service time of all requests waiting here.
     pub work: Duration,
-    tickets: BTreeMap<Place, Ticket>,
+    tickets: BTreeMap<Key, Ticket>,
 }
 
-impl Lane {
-    /// An empty lane that starts at this virtual time.
+impl OwnerQueue {
+    /// Creates an empty queue with this start tag.
     pub fn new(owner: id::Owner, tag: u64) -> Self {
         Self { owner, tag, weight: 1, work: Duration::ZERO, tickets: BTreeMap::new() }
     }
 
-    /// Whether nothing waits here.
+    /// Whether no request is waiting here.
     pub fn is_empty(&self) -> bool {
         self.tickets.is_empty()
     }
 
     /// Adds a ticket.
-    pub fn insert(&mut self, place: Place, ticket: Ticket) {
+    pub fn insert(&mut self, key: Key, ticket: Ticket) {
         self.weight = ticket.weight.max(1);
         self.work += ticket.service;
-        self.tickets.insert(place, ticket);
+        self.tickets.insert(key, ticket);
     }
 
-    /// Takes one ticket out.
-    pub fn remove(&mut self, place: Place) -> Option<Ticket> {
-        let ticket = self.tickets.remove(&place)?;
+    /// Removes a ticket.
+    pub fn remove(&mut self, key: Key) -> Option<Ticket> {
+        let ticket = self.tickets.remove(&key)?;
         self.work = self.work.saturating_sub(ticket.service);
         Some(ticket)
     }
 
-    /// The place of the ticket with the earliest deadline.
-    pub fn first(&self) -> Option<Place> {
+    /// The key of the ticket with the earliest deadline.
+    pub fn first(&self) -> Option<Key> {
         self.tickets.keys().next().copied()
     }
 
-    /// Charges the owner for a service time, in proportion to its share.
+    /// Charges the owner for a service time, divided by its weight.
     pub fn charge(&mut self, service: Duration) {
         self.tag = self.tag.saturating_add(self.cost(service));
     }
 
-    /// Takes a charge back.
+    /// Reverses a charge.
     pub fn refund(&mut self, service: Duration) {
         self.tag = self.tag.saturating_sub(self.cost(service));
     }
--- a/src/decide/queue/tests.rs
+++ b/src/decide/queue/tests.rs
@@ -26,10 +26,8 @@
 }
 
 #[test]
-fn hot_owner_waits_for_its_own_work_only() {
-    // One owner sends a hundred requests, then another sends two.
-    // In arrival order the second owner would wait for all hundred.
-    // With a fair order it is served at every second turn.
+fn backlog_of_one_owner_does_not_delay_others() {
+    // Guards against one owner's backlog delaying the other owners.
     let now = Instant::now() + 1_000 * SECOND;
     let mut queue = Queue::default();
     for number in 0..100 {
@@ -47,23 +45,22 @@
 }
 
 #[test]
-fn going_idle_sheds_no_debt() {
-    // An owner keeps one request in the queue at a time and sends the next as soon as one is taken.
-    // If an emptied lane were forgotten, it would start anew each time, ahead of the owner that stays.
-    // Both must get the same number of turns.
+fn going_idle_does_not_clear_debt() {
+    // Guards against an owner that gets ahead of the others by keeping only one request in the queue at a time.
     let now = Instant::now() + 1_000 * SECOND;
     let mut queue = Queue::default();
     let capacity = Capacity::new(Slots::new(8));
     for number in 0..50 {
         queue
-            .push(ticket(number, "stays", Class::Short, SECOND, now + 600 * SECOND), now)
+            .push(ticket(number, "backlogged", Class::Short, SECOND, now + 600 * SECOND), now)
             .expect("room");
     }
     let mut served = 0;
     for number in 100..140 {
-        let _ = queue.push(ticket(number, "flits", Class::Short, SECOND, now + 600 * SECOND), now);
+        let _ = queue
+            .push(ticket(number, "intermittent", Class::Short, SECOND, now + 600 * SECOND), now);
         let next = queue.pop(now, &capacity).expect("work");
-        served += u32::from(next.owner.as_str() == "flits");
+        served += u32::from(next.owner.as_str() == "intermittent");
     }
     assert!((18..=22).contains(&served), "{served} of 40");
 }
@@ -85,10 +82,8 @@
 }
 
 #[test]
-fn long_work_leaves_slots_for_short_and_alert_work() {
-    // Two lookups and an alert a second were asked for lately; then briefings fill every slot that they may have.
-    // Without reserved slots the next lookup and alert would wait for a briefing to end, a minute later.
-    // Reserved slots follow the demand: two and some headroom, so both start at once.
+fn slots_are_reserved_for_short_requests_and_alerts() {
+    // Guards against long requests occupying every slot, so that short requests and alerts wait for one to finish.
     let mut now = Instant::now() + 1_000 * SECOND;
     let mut queue = Queue::default();
     let mut capacity = Capacity::new(Slots::new(8));
@@ -117,7 +112,7 @@
 }
 
 #[test]
-fn lone_slot_serves_every_class() {
+fn single_slot_serves_every_class() {
     let now = Instant::now() + 1_000 * SECOND;
     for class in Class::ALL {
         let mut queue = Queue::default();
@@ -127,9 +122,8 @@
 }
 
 #[test]
-fn batch_work_is_not_starved() {
-    // Short work that never ends fills the queue; a draft waits beside it.
-    // With strict priorities the draft would never start.
+fn batch_requests_are_not_starved() {
+    // Guards against starvation of the batch class under a constant load of short requests.
     let now = Instant::now() + 1_000 * SECOND;
     let mut queue = Queue::default();
     let capacity = Capacity::new(Slots::new(1));
@@ -147,9 +141,8 @@
 }
 
 #[test]
-fn too_late_work_is_handed_back_and_never_run() {
-    // A request waits until its deadline can't be met any more; then a slot is free.
-    // Running it would spend the slot on an answer that comes late; the caller is told at once.
+fn expired_request_is_returned_and_never_run() {
+    // Guards against running a request whose answer would come too late.
     let now = Instant::now() + 1_000 * SECOND;
     let mut queue = Queue::default();
     queue.push(ticket(1, "one", Class::Short, SECOND, now + 5 * SECOND), now).expect("room");
@@ -162,7 +155,7 @@
 }
 
 #[test]
-fn cancelled_request_leaves_the_queue_and_its_bounds() {
+fn cancelled_request_frees_its_part_of_the_bounds() {
     let now = Instant::now() + 1_000 * SECOND;
     let bounds = Bounds { owner_count: 1, ..Bounds::default() };
     let mut queue = Queue::new(bounds);
@@ -174,7 +167,7 @@
 }
 
 #[test]
-fn batch_work_fills_only_half_of_the_queue() {
+fn batch_requests_fill_at_most_half_of_the_queue() {
     let now = Instant::now() + 1_000 * SECOND;
     let mut queue = Queue::new(Bounds { count: 8, ..Bounds::default() });
     for number in 0..4 {
@@ -188,16 +181,15 @@
 }
 
 #[test]
-fn request_that_finds_no_place_isnt_charged_again() {
-    // One owner's request may not run on the upstreams that are free; it is tried and put back a hundred times.
-    // Were it charged each time, the owner's later requests would wait behind a hundred of the other owner's.
+fn requeued_request_is_not_charged_again() {
+    // Guards against charging an owner each time its request is popped and requeued.
     let now = Instant::now() + 1_000 * SECOND;
     let mut queue = Queue::default();
     let capacity = Capacity::new(Slots::new(8));
     queue.push(ticket(1, "tried", Class::Short, SECOND, now + 600 * SECOND), now).expect("room");
     for _ in 0..100 {
         let tried = queue.pop(now, &capacity).expect("work");
-        queue.give_back(tried, now, &capacity);
+        queue.requeue(tried, now, &capacity);
     }
     for number in 10..20 {
         queue
--- a/src/decide/queue/ticket.rs
+++ b/src/decide/queue/ticket.rs
@@ -1,4 +1,4 @@
-//! What the queue knows of a waiting request.
+//! Scheduling data of a waiting request.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,22 +9,22 @@
 use crate::id;
 use crate::unit::Bytes;
 
-/// A waiting request: no body, only what the order of service depends on.
+/// A waiting request, without its body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Ticket {
-    /// The request itself.
+    /// The request's ID.
     pub request: id::Request,
-    /// Whose request it is.
+    /// The owner.
     pub owner: id::Owner,
     /// The class of work.
     pub class: Class,
-    /// The owner's share against other owners' shares.
+    /// The owner's weight in fair queueing.
     pub weight: u32,
-    /// When the answer must be whole.
+    /// When the answer must be complete.
     pub deadline: Instant,
     /// How long the request is expected to occupy a slot.
     pub service: Duration,
-    /// The time within which all but a few such requests end.
+    /// A high percentile of the service time of such requests.
     pub tail: Duration,
     /// The memory that the request holds while it waits.
     pub size: Bytes,
@@ -33,20 +33,19 @@
 }
 
 impl Ticket {
-    /// The last instant at which a start is all but sure to meet the deadline.
+    /// The latest start time at which the request very probably meets its deadline.
     ///
-    /// A request that has waited starts no later: one in three would end too late, and take the slot from requests
-    /// that have time. One whose whole time is shorter than the tail starts at once or not at all.
+    /// A request whose total time is shorter than the tail must start on arrival.
     pub fn latest_start(&self) -> Instant {
         self.deadline.checked_sub(self.tail).map_or(self.arrived, |latest| latest.max(self.arrived))
     }
 
-    /// Whether a start at `now` would end after the deadline.
+    /// Whether a request started now is expected to miss the deadline.
     pub fn is_too_late(&self, now: Instant) -> bool {
         now + self.service > self.deadline
     }
 
-    /// The priority that the engine is asked to give to this request.
+    /// The priority to request from the engine.
     pub fn priority(&self) -> Priority {
         Priority::of(self.class)
     }
@@ -54,8 +53,7 @@
 
 /// An engine's scheduling priority; a lower number runs first and may preempt a higher one.
 ///
-/// Engines batch continuously: without it a long prompt that is already running slows an alert that
-/// shares its batch, and no order of dispatch can mend that.
+/// Engines batch continuously, so without priorities a long prompt slows an alert in the same batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Priority(u8);
 
@@ -70,7 +68,7 @@
         }
     }
 
-    /// The bare number.
+    /// The priority as a number.
     pub const fn get(self) -> u8 {
         self.0
     }
--- a/src/entry/dispatch.rs
+++ b/src/entry/dispatch.rs
@@ -415,7 +415,7 @@
             }
         }
         for ticket in unplaced {
-            pool.queue.give_back(ticket, now, &pool.capacity);
+            pool.queue.requeue(ticket, now, &pool.capacity);
         }
     }
 
