--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -1,13 +1,8 @@
-//! Whether a request may wait at all.
+//! Admission control: whether a request may enter the queue.
 //!
-//! **Load pattern.** Far more requests than slots, sent by programs that ask again until they are answered.
-//!
-//! **Without it.** The queue grows until everything in it is answered late; callers time out and send again, so
-//! the slots run work that nobody waits for, and goodput falls to nothing although every slot is busy.
-//!
-//! **Decision.** The wait is predicted from what is queued, the slots and measured service times. What can't meet its
-//! deadline is refused at once, before it holds memory, and told when to come back: refused callers are given
-//! places one after the other behind the backlog, so that a storm returns at the rate at which it can be served.
+//! The wait is predicted from the queue, the slots and measured service times. A request that would miss its deadline is
+//! refused at once, before it uses memory or a slot. Its caller is told when to come back: return times of refused
+//! callers are spread behind the backlog at the rate at which they can be served, so that a burst doesn't repeat.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -24,62 +19,59 @@
 use crate::id;
 use crate::unit::Slots;
 
-mod bookings;
 mod estimator;
+mod retry_schedule;
 
 pub use estimator::Estimator;
 
-use bookings::Bookings;
-use bookings::MAX_RETRY;
+use retry_schedule::MAX_RETRY_AFTER;
+use retry_schedule::RetrySchedule;
 
-/// The shortest time that a refused caller is told to stay away. Derived: a trip between regions and back.
-const MIN_RETRY: Duration = Duration::from_millis(200);
+/// The shortest time after which a refused caller may come back: a round trip between regions.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// How long a refused caller stays away while no upstream is there: the time in which a new one announces itself.
+/// When a refused caller may come back while no upstream is available: the time a new one takes to announce itself.
 ///
-/// Nobody knows when that will be. Places behind a backlog would keep alerts away for minutes after it.
-const OUTAGE_RETRY: Duration = Duration::from_secs(3);
+/// A return time behind the backlog could keep alerts away for minutes after the outage.
+const OUTAGE_RETRY_AFTER: Duration = Duration::from_secs(3);
 
-/// The part of the time away that jitter adds: callers refused in the same instant don't return in the same instant.
+/// Maximum jitter, as a fraction of the time until the caller returns.
 const JITTER: f64 = 0.25;
 
-/// The part of a request's slack that its predicted wait may take, in the order of [`Class::ALL`].
+/// The maximum predicted wait as a fraction of a request's slack, in the order of [`Class::ALL`].
 ///
-/// Measured (docs/design/decisions.md): with all of it, a third of the lookups that are let in under overload are given
-/// up on later, and 1.9 of 24 slots run what ends too late; with a fifth it is one in seventy and 0.3 slots, and the
-/// median answer takes half the time.
-const SLACK_PARTS: [f64; Class::COUNT] = [1.0, 0.2, 0.5, 0.9];
+/// Predictions are uncertain: with the whole slack, many short requests admitted under overload would expire in the
+/// queue (see docs/design/decisions.md).
+const MAX_WAIT_FRACTIONS: [f64; Class::COUNT] = [1.0, 0.2, 0.5, 0.9];
 
-/// So many requests for each root of the slots may wait in any case.
+/// The backlog that is always allowed, in requests, is this factor times the square root of the slots.
 ///
-/// Arrivals vary by the root of what is served meanwhile: on two slots a fifth of the slack is one waiting request,
-/// and lookups that would be in time are refused at every other excursion.
-const EXCURSION: f64 = 3.0;
+/// Arrivals fluctuate by about the square root of their number. With few slots a fraction of the slack alone would
+/// refuse requests at ordinary fluctuations.
+const MIN_BACKLOG_FACTOR: f64 = 3.0;
 
-/// The part of the capacity that is promised to callers that were refused; new ones need the rest.
-///
-/// Measured (docs/design/decisions.md): with all of it, 79% of the lookups beside a burst are in time, with a half 89%,
-/// and the burst itself takes an eighth longer; with less the burst takes longer still and lookups gain little.
-const PROMISED: f64 = 0.5;
+/// The fraction of the capacity that is planned for returning callers; the rest is left for new ones
+/// (see docs/design/decisions.md).
+const RETURNING_FRACTION: f64 = 0.5;
 
-/// The first guesses of service times, in the order of [`Class::ALL`]; measurements replace them soon.
-const GUESSES: [Duration; Class::COUNT] = [
+/// Service times assumed before any measurement, in the order of [`Class::ALL`].
+const INITIAL_SERVICE_TIMES: [Duration; Class::COUNT] = [
     Duration::from_millis(500),
     Duration::from_secs(1),
     Duration::from_secs(20),
     Duration::from_secs(30),
 ];
 
-/// What becomes of a request that has just arrived.
+/// The decision on a request that has just arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// It may be pushed to the queue.
+    /// The request may be pushed to the queue.
     Accept,
-    /// It is answered at once; it ran nowhere.
+    /// The request is refused at once; it did not run.
     Refuse {
-        /// Why.
+        /// The reason.
         reason: Reason,
-        /// When the caller should come back, jitter included.
+        /// When the caller should come back, including jitter.
         retry_after: Duration,
     },
 }
@@ -87,36 +79,36 @@
 /// Why a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
-    /// The queue's bounds don't allow it, or its deadline can't be met even by a start at once.
+    /// The queue can't take it.
     Queue(queue::Refusal),
-    /// It would wait past its deadline.
+    /// The predicted wait is too long for its deadline.
     Overload,
 }
 
-/// Decides which requests may wait, and remembers what it told those that may not.
+/// Decides which requests are admitted, and schedules the return of callers that are refused.
 #[derive(Debug)]
 pub struct Admission {
     rng: SmallRng,
     classes: [Estimator; Class::COUNT],
     entries: HashMap<id::Entry, Estimator>,
-    bookings: [Bookings; Class::COUNT],
+    retry_schedules: [RetrySchedule; Class::COUNT],
     shares: [u64; Class::COUNT],
 }
 
 impl Admission {
-    /// Nothing measured yet.
+    /// Creates an admission control without measurements.
     pub fn new(rng: SmallRng) -> Self {
-        let classes = GUESSES.map(Estimator::new);
+        let classes = INITIAL_SERVICE_TIMES.map(Estimator::new);
         Self {
             rng,
             classes,
             entries: HashMap::new(),
-            bookings: Default::default(),
+            retry_schedules: Default::default(),
             shares: [1; Class::COUNT],
         }
     }
 
-    /// Takes in how long a request of this entry occupied its slot.
+    /// Records how long a request of this entry occupied its slot.
     pub fn observe(&mut self, entry: &id::Entry, class: Class, service: Duration) {
         self.classes[class.index()].observe(service);
         if let Some(estimator) = self.entries.get_mut(entry) {
@@ -126,17 +118,17 @@
         self.entries.insert(entry.clone(), Estimator::new(service));
     }
 
-    /// Whether any request of this entry was measured.
+    /// Whether any request of this entry has been measured.
     pub fn has_measured(&self, entry: &id::Entry) -> bool {
         self.entries.contains_key(entry)
     }
 
-    /// How long requests of this entry occupy a slot.
+    /// The service time of this entry, or of its class if the entry hasn't been measured.
     pub fn estimate(&self, entry: &id::Entry, class: Class) -> &Estimator {
         self.entries.get(entry).unwrap_or(&self.classes[class.index()])
     }
 
-    /// Whether this request may wait.
+    /// Decides whether a request may enter the queue.
     pub fn admit(
         &mut self,
         ticket: &Ticket,
@@ -151,14 +143,14 @@
         let wait = queue.predicted_wait(ticket, capacity, now);
         let reason = match queue.check(ticket, now) {
             Err(refusal) => Reason::Queue(refusal),
-            Ok(()) if wait > patience(ticket, share, now) => Reason::Overload,
+            Ok(()) if wait > max_wait(ticket, share, now) => Reason::Overload,
             Ok(()) => return Decision::Accept,
         };
-        let retry_after = self.book(ticket, wait, capacity, now);
+        let retry_after = self.schedule(ticket, wait, capacity, now);
         Decision::Refuse { reason, retry_after }
     }
 
-    /// When the caller of a request that the queue gave up on should come back.
+    /// When the caller of a request that expired in the queue should come back.
     pub fn retry_after(
         &mut self,
         ticket: &Ticket,
@@ -167,11 +159,11 @@
         now: Instant,
     ) -> Duration {
         let wait = queue.predicted_wait(ticket, capacity, now);
-        self.book(ticket, wait, capacity, now)
+        self.schedule(ticket, wait, capacity, now)
     }
 
-    /// Gives a refused caller a place behind the backlog and behind those of its owner that were refused before.
-    fn book(
+    /// Schedules a refused caller's return after the backlog, and after earlier refused callers of the same owner.
+    fn schedule(
         &mut self,
         ticket: &Ticket,
         wait: Duration,
@@ -179,26 +171,32 @@
         now: Instant,
     ) -> Duration {
         let wait = if capacity.slots() == Slots::ZERO {
-            OUTAGE_RETRY
+            OUTAGE_RETRY_AFTER
         } else {
             wait.saturating_sub(slack(ticket, now))
         };
-        let earliest = now + wait.clamp(MIN_RETRY, MAX_RETRY);
-        let pace = ticket.service.div_f64(PROMISED * self.shares[ticket.class.index()] as f64);
-        let turn = self.bookings[ticket.class.index()].book(&ticket.owner, earliest, pace, now);
-        let away = turn.saturating_duration_since(now);
-        away.mul_f64(self.rng.random_range(1.0..1.0 + JITTER))
+        let earliest = now + wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
+        let interval =
+            ticket.service.div_f64(RETURNING_FRACTION * self.shares[ticket.class.index()] as f64);
+        let at = self.retry_schedules[ticket.class.index()].schedule(
+            &ticket.owner,
+            earliest,
+            interval,
+            now,
+        );
+        let retry_after = at.saturating_duration_since(now);
+        retry_after.mul_f64(self.rng.random_range(1.0..1.0 + JITTER))
     }
 }
 
-/// How long a request may wait by prediction.
-fn patience(ticket: &Ticket, share: u64, now: Instant) -> Duration {
+/// The maximum predicted wait of a request that is admitted.
+fn max_wait(ticket: &Ticket, share: u64, now: Instant) -> Duration {
     let slack = slack(ticket, now);
-    let excursion = ticket.service.mul_f64(EXCURSION / (share as f64).sqrt());
-    slack.mul_f64(SLACK_PARTS[ticket.class.index()]).max(excursion).min(slack)
+    let min_backlog = ticket.service.mul_f64(MIN_BACKLOG_FACTOR / (share as f64).sqrt());
+    slack.mul_f64(MAX_WAIT_FRACTIONS[ticket.class.index()]).max(min_backlog).min(slack)
 }
 
-/// How long a request can wait.
+/// The time until the request's latest start.
 fn slack(ticket: &Ticket, now: Instant) -> Duration {
     ticket.latest_start().saturating_duration_since(now)
 }
--- a/src/decide/admission/estimator.rs
+++ b/src/decide/admission/estimator.rs
@@ -1,23 +1,18 @@
-//! Measured service time.
+//! Estimates service times from measurements.
 
 use std::time::Duration;
 
-/// The part of a new sample in the average. Derived: 20 samples forget nine tenths of an old level.
-const GAIN: f64 = 0.1;
+/// Weight of a new sample in the moving averages.
+const SMOOTHING: f64 = 0.1;
 
-/// A sample counts as at most so many times the average.
-///
-/// One briefing of a minute among lookups of a second would otherwise raise the average sevenfold and have
-/// lookups refused that would have been in time; a real change still shows, as the average follows it up by
-/// 70% with each sample.
-const CLIP: f64 = 8.0;
+/// Samples are clipped to this multiple of the average, so that a single outlier doesn't cause refusals.
+const MAX_SAMPLE_FACTOR: f64 = 8.0;
 
-/// The tail is the average and so many mean deviations.
-///
-/// Derived: for service times of a shifted exponential distribution, nine of ten requests end by then.
-const DEVIATIONS: f64 = 2.0;
+/// The tail is the average plus this many mean deviations: about the 90th percentile of a shifted exponential
+/// distribution.
+const TAIL_DEVIATIONS: f64 = 2.0;
 
-/// The service time of one kind of request, robust to a few very long ones.
+/// Estimates the service time of one kind of request, robust to outliers.
 #[derive(Debug, Clone, Copy)]
 pub struct Estimator {
     seconds: f64,
@@ -25,16 +20,16 @@
 }
 
 impl Estimator {
-    /// Starts from a guess.
-    pub fn new(guess: Duration) -> Self {
-        Self { seconds: guess.as_secs_f64(), deviation: 0.0 }
+    /// Creates an estimator with an initial value.
+    pub fn new(initial: Duration) -> Self {
+        Self { seconds: initial.as_secs_f64(), deviation: 0.0 }
     }
 
-    /// Takes a measured service time in.
+    /// Records a measured service time.
     pub fn observe(&mut self, service: Duration) {
-        let sample = service.as_secs_f64().min(self.seconds * CLIP);
-        self.deviation += GAIN * ((sample - self.seconds).abs() - self.deviation);
-        self.seconds += GAIN * (sample - self.seconds);
+        let sample = service.as_secs_f64().min(self.seconds * MAX_SAMPLE_FACTOR);
+        self.deviation += SMOOTHING * ((sample - self.seconds).abs() - self.deviation);
+        self.seconds += SMOOTHING * (sample - self.seconds);
     }
 
     /// The expected service time.
@@ -42,8 +37,8 @@
         Duration::from_secs_f64(self.seconds)
     }
 
-    /// The time within which all but a few end.
+    /// A high percentile of the service time.
     pub fn tail(&self) -> Duration {
-        Duration::from_secs_f64(self.seconds + DEVIATIONS * self.deviation)
+        Duration::from_secs_f64(self.seconds + TAIL_DEVIATIONS * self.deviation)
     }
 }
--- a/src/decide/admission/tests.rs
+++ b/src/decide/admission/tests.rs
@@ -21,10 +21,9 @@
 }
 
 #[test]
-fn storm_is_refused_early_and_told_to_return_at_the_rate_of_service() {
-    // 400 callers ask at once where 8 slots serve 8 requests of a second each second.
-    // About a second's work is let in, all others are refused at once: a longer queue would only make all wait.
-    // They are told to return spread out: if all came back together, the storm would repeat.
+fn burst_is_refused_early_and_returns_at_the_service_rate() {
+    // Guards against a burst that fills the queue beyond what can be served in time, and against refused callers that
+    // all return at the same time.
     let now = Instant::now();
     let mut admission = Admission::new(SmallRng::seed_from_u64(1));
     let mut queue = Queue::default();
@@ -43,12 +42,12 @@
 }
 
 #[test]
-fn one_briefing_hardly_moves_the_estimate_of_lookups() {
+fn outlier_barely_changes_the_estimate() {
     let mut estimator = Estimator::new(SECOND);
     estimator.observe(60 * SECOND);
     assert!(estimator.expected() < 2 * SECOND);
     for _ in 0..20 {
         estimator.observe(10 * SECOND);
     }
-    assert!(estimator.expected() > 8 * SECOND, "a real change shows");
+    assert!(estimator.expected() > 8 * SECOND, "the estimate follows a lasting change");
 }
