--- a/benches/decide/route.rs
+++ b/benches/decide/route.rs
@@ -144,10 +144,10 @@
                 repeat: Repeat::Allowed,
                 evidence: &[Evidence::NothingSent],
                 layer: Layer::First,
-                left: Duration::from_secs(9),
+                time_left: Duration::from_secs(9),
                 expected: Duration::from_secs(1),
             };
-            retry.began(&owners[turn], &model, time);
+            retry.first_attempt(&owners[turn], &model, time);
             black_box(retry.decide(&failure, time, &mut rng))
         });
     });
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -1,26 +1,24 @@
-//! Retry: whether a failed request is tried again, and what its caller is told otherwise.
+//! Retries: whether a failed request is tried again, and when its caller may come back otherwise.
 //!
-//! Load pattern: an upstream or all of them fail for some seconds, and the callers are programs that resend by
-//! themselves. If each failed request were tried three times, and each VM on the way did so, the failing upstreams
-//! would get nine times their load just then, and the retries would hold them down after the cause has gone.
+//! Unlimited retries at several layers would multiply the load on upstreams that are failing, and keep them
+//! overloaded after the cause has gone. Therefore:
 //!
-//! - Retries are paid from two budgets, of the owner and of the set of upstreams, each a tenth of first attempts.
-//!   The load on what fails is 1.1 times the usual, whoever causes it; one owner's failures use up no other's.
+//! - Retries draw on two budgets, the owner's and that of the set of upstreams, each a tenth of first attempts.
 //! - They wait with exponential backoff and full jitter.
-//! - One layer retries: the VM that the caller asked. A VM that was handed the request by another only reports.
-//! - Only what surely did not run, or may be repeated, is tried again ([`Evidence`]).
+//! - Only the VM that the caller asked retries; a VM that a request was forwarded to reports the failure.
+//! - Only a request that surely did not run, or may be repeated, is tried again ([`Evidence`]).
 //!
-//! A request that is given up gets its final answer at once, with the time after which to come back: callers get
-//! places one after the other, so that they return at the pace at which requests are answered (`Comeback`).
+//! A request that is given up is answered at once, with a return time for its caller. Return times are spread at the
+//! rate at which requests are answered (`RetryAfter`).
 
 mod backoff;
 mod budget;
-mod comeback;
 mod evidence;
 mod hedge;
 mod quantile;
 mod race;
 pub mod repeats;
+mod retry_after;
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -29,13 +27,13 @@
 use tokio::time::Instant;
 
 use self::budget::Budgets;
-use self::comeback::Comeback;
+use self::retry_after::RetryAfter;
 use crate::catalogue::Repeat;
 use crate::id;
 
 pub use backoff::delay;
 pub use budget::Budget;
-pub use budget::Terms;
+pub use budget::BudgetConfig;
 pub use evidence::Evidence;
 pub use evidence::Ran;
 pub use hedge::Hedge;
@@ -43,60 +41,61 @@
 pub use race::Answer;
 pub use race::Race;
 
-/// The most attempts of one request, the first included. With independent faults of one attempt in ten, three leave
-/// one request in a thousand unanswered; what fails three times fails for a cause that it shares.
-pub const ATTEMPTS: u32 = 3;
+/// The maximum number of attempts of one request, including the first.
+pub const MAX_ATTEMPTS: u32 = 3;
 
-/// An owner's retries: a tenth of its requests, ten at once, and one each ten seconds for an owner that asks rarely.
-pub const OWNER: Terms = Terms { ratio: 0.1, most: 10.0, trickle: Duration::from_secs(10) };
+/// Each owner's retry budget: a tenth of its requests, and one retry every ten seconds for owners with few requests.
+pub const OWNER_BUDGET: BudgetConfig =
+    BudgetConfig { ratio: 0.1, capacity: 10.0, refill_interval: Duration::from_secs(10) };
 
-/// The retries to all upstreams of a model: a tenth of the requests, twenty at once, one a second at least.
-pub const UPSTREAMS: Terms = Terms { ratio: 0.1, most: 20.0, trickle: Duration::from_secs(1) };
+/// The retry budget of all upstreams of a model: a tenth of the requests, and at least one retry a second.
+pub const UPSTREAM_BUDGET: BudgetConfig =
+    BudgetConfig { ratio: 0.1, capacity: 20.0, refill_interval: Duration::from_secs(1) };
 
-/// Which of the system's VMs holds a request.
+/// The position of a VM on a request's way.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Layer {
     /// The VM that the caller asked.
     First,
-    /// A VM that another VM handed it to.
+    /// A VM that the request was forwarded to.
     Forwarded,
 }
 
 /// A request whose last attempt failed.
 #[derive(Debug, Clone)]
 pub struct Failure<'a> {
-    /// Whose request it is.
+    /// The owner of the request.
     pub owner: &'a id::Owner,
-    /// The model, which names the set of upstreams.
+    /// The model, which identifies the set of upstreams.
     pub model: &'a id::Model,
     /// Whether it may run more than once.
     pub repeat: Repeat,
-    /// What is known of each attempt so far, in their order.
+    /// What is known of each attempt so far, in order.
     pub evidence: &'a [Evidence],
-    /// Which VM this is on its way.
+    /// The position of this VM on the request's way.
     pub layer: Layer,
     /// The time left until its deadline.
-    pub left: Duration,
-    /// The time that an attempt is expected to take.
+    pub time_left: Duration,
+    /// The expected duration of an attempt.
     pub expected: Duration,
 }
 
-/// What becomes of a failed request.
+/// The decision on a failed request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
-    /// It is tried again after that time, on another upstream where there is one.
+pub enum Decision {
+    /// Retry after a delay, on another upstream if there is one.
     Retry {
-        /// The time.
+        /// The delay.
         after: Duration,
     },
-    /// It is answered now.
+    /// Answer the caller with an error now.
     GiveUp {
-        /// Why.
+        /// The reason.
         reason: Reason,
-        /// Whether it ran.
+        /// Whether the request ran.
         ran: Ran,
         /// When the caller may come back.
-        come_back: Duration,
+        retry_after: Duration,
     },
 }
 
@@ -105,11 +104,11 @@
 pub enum Reason {
     /// It may have run, and may not run twice.
     MayHaveRun,
-    /// The VM that the caller asked decides.
-    NotOurs,
-    /// It was tried often enough.
-    Attempts,
-    /// Its deadline would be missed.
+    /// Only the VM that the caller asked may retry.
+    NotFirstVm,
+    /// It has been tried [`MAX_ATTEMPTS`] times.
+    AttemptLimit,
+    /// Another attempt would miss the deadline.
     Deadline,
     /// The owner's budget is used up.
     OwnerBudget,
@@ -122,7 +121,7 @@
 pub struct Retry {
     owners: Budgets<id::Owner>,
     upstreams: Budgets<id::Model>,
-    comebacks: HashMap<id::Model, Comeback>,
+    retry_after: HashMap<id::Model, RetryAfter>,
 }
 
 impl Default for Retry {
@@ -132,69 +131,69 @@
 }
 
 impl Retry {
-    /// Full budgets.
+    /// Creates full budgets.
     pub fn new() -> Self {
-        let (owners, upstreams) = (Budgets::new(OWNER), Budgets::new(UPSTREAMS));
-        Self { owners, upstreams, comebacks: HashMap::new() }
+        let (owners, upstreams) = (Budgets::new(OWNER_BUDGET), Budgets::new(UPSTREAM_BUDGET));
+        Self { owners, upstreams, retry_after: HashMap::new() }
     }
 
-    /// A first attempt of a request is made.
-    pub fn began(&mut self, owner: &id::Owner, model: &id::Model, now: Instant) {
+    /// Records the first attempt of a request.
+    pub fn first_attempt(&mut self, owner: &id::Owner, model: &id::Model, now: Instant) {
         self.owners.deposit(owner, now);
         self.upstreams.deposit(model, now);
     }
 
-    /// A request was answered whole.
+    /// Records a complete answer.
     pub fn answered(&mut self, model: &id::Model, now: Instant) {
-        match self.comebacks.get_mut(model) {
-            Some(comeback) => comeback.answered(now),
-            None => drop(self.comebacks.insert(model.clone(), Comeback::new())),
+        match self.retry_after.get_mut(model) {
+            Some(schedule) => schedule.answered(now),
+            None => drop(self.retry_after.insert(model.clone(), RetryAfter::new())),
         }
     }
 
-    /// What becomes of a request whose attempt failed; a retry is charged to the budgets at once.
-    pub fn decide(&mut self, failure: &Failure<'_>, now: Instant, rng: &mut impl Rng) -> Verdict {
+    /// Decides on a request whose attempt failed; a retry is charged to the budgets at once.
+    pub fn decide(&mut self, failure: &Failure<'_>, now: Instant, rng: &mut impl Rng) -> Decision {
         let made = u32::try_from(failure.evidence.len()).unwrap_or(u32::MAX);
         let after = backoff::delay(made, rng);
-        match self.objection(failure, made, after, now) {
+        match self.reason_to_give_up(failure, made, after, now) {
             None => {
                 self.owners.withdraw(failure.owner, now);
                 self.upstreams.withdraw(failure.model, now);
-                Verdict::Retry { after }
+                Decision::Retry { after }
             }
             Some(reason) => {
-                let comeback =
-                    self.comebacks.entry(failure.model.clone()).or_insert_with(Comeback::new);
-                let come_back = comeback.book(now, rng);
-                Verdict::GiveUp { reason, ran: Ran::after(failure.evidence), come_back }
+                let schedule =
+                    self.retry_after.entry(failure.model.clone()).or_insert_with(RetryAfter::new);
+                let retry_after = schedule.next(now, rng);
+                Decision::GiveUp { reason, ran: Ran::after(failure.evidence), retry_after }
             }
         }
     }
 
-    fn objection(
+    fn reason_to_give_up(
         &mut self,
         failure: &Failure<'_>,
         made: u32,
         after: Duration,
         now: Instant,
     ) -> Option<Reason> {
-        // Each attempt must allow the next: a hedged one may have run although the last one did not.
+        // Every attempt counts: an earlier or hedged one may have run although the last one did not.
         if !failure.evidence.iter().all(|evidence| evidence.may_repeat(failure.repeat)) {
             return Some(Reason::MayHaveRun);
         }
         if failure.layer == Layer::Forwarded {
-            return Some(Reason::NotOurs);
+            return Some(Reason::NotFirstVm);
         }
-        if made >= ATTEMPTS {
-            return Some(Reason::Attempts);
+        if made >= MAX_ATTEMPTS {
+            return Some(Reason::AttemptLimit);
         }
-        if after + failure.expected > failure.left {
+        if after + failure.expected > failure.time_left {
             return Some(Reason::Deadline);
         }
-        if !self.owners.has(failure.owner, now) {
+        if !self.owners.has_token(failure.owner, now) {
             return Some(Reason::OwnerBudget);
         }
-        (!self.upstreams.has(failure.model, now)).then_some(Reason::UpstreamBudget)
+        (!self.upstreams.has_token(failure.model, now)).then_some(Reason::UpstreamBudget)
     }
 }
 
--- a/src/decide/retry/backoff.rs
+++ b/src/decide/retry/backoff.rs
@@ -1,20 +1,18 @@
-//! How long to wait before another attempt.
+//! Exponential backoff between attempts.
 
 use std::time::Duration;
 
 use rand::Rng;
 
-/// The bound of the first wait. A restarted process or a moved connection is back after some tens of milliseconds,
-/// and a short lookup has a second or two in all.
-const FIRST: Duration = Duration::from_millis(50);
+/// Upper bound of the first delay: about the time to restart a process or reconnect.
+const INITIAL_BOUND: Duration = Duration::from_millis(50);
 
-/// The longest bound: no wait is longer than what a person would take for a fault.
-const LONGEST: Duration = Duration::from_secs(5);
+/// Upper bound of any delay.
+const MAX_BOUND: Duration = Duration::from_secs(5);
 
-/// The wait before the attempt after `made` ones: evenly random between zero and a bound that doubles each time.
-/// Full jitter spreads the requests that failed in the same moment over the whole span, so that they don't come
-/// back in the same moment.
+/// The delay before the next attempt after `made` ones: uniformly random between zero and a bound that doubles each
+/// time. Full jitter spreads the retries of requests that failed at the same time.
 pub fn delay(made: u32, rng: &mut impl Rng) -> Duration {
-    let bound = FIRST.saturating_mul(1 << made.saturating_sub(1).min(16)).min(LONGEST);
+    let bound = INITIAL_BOUND.saturating_mul(1 << made.saturating_sub(1).min(16)).min(MAX_BOUND);
     bound.mul_f64(rng.random::<f64>())
 }
--- a/src/decide/retry/budget.rs
+++ b/src/decide/retry/budget.rs
@@ -1,4 +1,4 @@
-//! How many attempts beyond the first ones may be made.
+//! Budgets for retries and other additional attempts.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -6,89 +6,90 @@
 
 use tokio::time::Instant;
 
-/// A bucket of further attempts: each first attempt puts a share of one in, each further attempt takes one out.
+/// A token bucket: each first attempt adds a fraction of a token, each additional attempt takes one.
 #[derive(Debug, Clone, Copy)]
 pub struct Budget {
-    left: f64,
+    tokens: f64,
     last: Instant,
 }
 
-/// The figures of a kind of budget.
+/// The parameters of a kind of budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Terms {
-    /// What a first attempt puts in.
+pub struct BudgetConfig {
+    /// The fraction of a token that a first attempt adds.
     pub ratio: f64,
-    /// The most that is kept.
-    pub most: f64,
-    /// The time in which one comes by itself, so that rare requests have retries too.
-    pub trickle: Duration,
+    /// The maximum number of tokens.
+    pub capacity: f64,
+    /// The time in which one token is added regardless of attempts, so that rare requests can be retried.
+    pub refill_interval: Duration,
 }
 
 impl Budget {
-    /// A full budget.
-    pub fn new(terms: &Terms, now: Instant) -> Self {
-        Self { left: terms.most, last: now }
+    /// Creates a full budget.
+    pub fn new(config: &BudgetConfig, now: Instant) -> Self {
+        Self { tokens: config.capacity, last: now }
     }
 
-    /// A first attempt is made.
-    pub fn deposit(&mut self, terms: &Terms, now: Instant) {
-        self.trickle(terms, now);
-        self.left = (self.left + terms.ratio).min(terms.most);
+    /// Records a first attempt.
+    pub fn deposit(&mut self, config: &BudgetConfig, now: Instant) {
+        self.refill(config, now);
+        self.tokens = (self.tokens + config.ratio).min(config.capacity);
     }
 
-    /// Whether one more is there to take.
-    pub fn has(&mut self, terms: &Terms, now: Instant) -> bool {
-        self.trickle(terms, now);
-        self.left >= 1.0
+    /// Whether a token is available.
+    pub fn has_token(&mut self, config: &BudgetConfig, now: Instant) -> bool {
+        self.refill(config, now);
+        self.tokens >= 1.0
     }
 
-    /// Takes one.
+    /// Takes a token.
     pub fn withdraw(&mut self) {
-        self.left = (self.left - 1.0).max(0.0);
+        self.tokens = (self.tokens - 1.0).max(0.0);
     }
 
-    fn trickle(&mut self, terms: &Terms, now: Instant) {
-        let grown = now.saturating_duration_since(self.last).as_secs_f64();
-        self.left = (self.left + grown / terms.trickle.as_secs_f64()).min(terms.most);
+    fn refill(&mut self, config: &BudgetConfig, now: Instant) {
+        let elapsed = now.saturating_duration_since(self.last).as_secs_f64();
+        self.tokens =
+            (self.tokens + elapsed / config.refill_interval.as_secs_f64()).min(config.capacity);
         self.last = now;
     }
 }
 
-/// Budgets by key. A full one is as good as none, so full ones are dropped where they grow many.
+/// Budgets by key. A missing budget counts as full, so full ones can be removed.
 #[derive(Debug)]
 pub struct Budgets<K> {
-    terms: Terms,
+    config: BudgetConfig,
     budgets: HashMap<K, Budget>,
     sweep_at: usize,
 }
 
-/// How many budgets are kept before full ones are first looked for; about 0.5 MB.
-const SWEEP: usize = 8192;
+/// Full budgets are removed only above this number of budgets; about 0.5 MB.
+const MIN_SWEEP_SIZE: usize = 8192;
 
 impl<K: Clone + Eq + Hash> Budgets<K> {
-    /// No budgets yet, on these terms.
-    pub fn new(terms: Terms) -> Self {
-        Self { terms, budgets: HashMap::new(), sweep_at: SWEEP }
+    /// Creates an empty set of budgets with these parameters.
+    pub fn new(config: BudgetConfig) -> Self {
+        Self { config, budgets: HashMap::new(), sweep_at: MIN_SWEEP_SIZE }
     }
 
-    /// A first attempt is made.
+    /// Records a first attempt.
     pub fn deposit(&mut self, key: &K, now: Instant) {
-        // No budget is a full one: nothing to put in.
+        // A missing budget is full.
         if let Some(budget) = self.budgets.get_mut(key) {
-            budget.deposit(&self.terms, now);
+            budget.deposit(&self.config, now);
         }
     }
 
-    /// Whether one more is there to take.
-    pub fn has(&mut self, key: &K, now: Instant) -> bool {
-        self.budgets.get_mut(key).is_none_or(|budget| budget.has(&self.terms, now))
+    /// Whether a token is available.
+    pub fn has_token(&mut self, key: &K, now: Instant) -> bool {
+        self.budgets.get_mut(key).is_none_or(|budget| budget.has_token(&self.config, now))
     }
 
-    /// Takes one.
+    /// Takes a token.
     pub fn withdraw(&mut self, key: &K, now: Instant) {
         if !self.budgets.contains_key(key) {
             self.sweep(now);
-            self.budgets.insert(key.clone(), Budget::new(&self.terms, now));
+            self.budgets.insert(key.clone(), Budget::new(&self.config, now));
         }
         if let Some(budget) = self.budgets.get_mut(key) {
             budget.withdraw();
@@ -99,11 +100,11 @@
         if self.budgets.len() < self.sweep_at {
             return;
         }
-        let terms = self.terms;
+        let config = self.config;
         self.budgets.retain(|_, budget| {
-            budget.trickle(&terms, now);
-            budget.left < terms.most
+            budget.refill(&config, now);
+            budget.tokens < config.capacity
         });
-        self.sweep_at = (self.budgets.len() * 2).max(SWEEP);
+        self.sweep_at = (self.budgets.len() * 2).max(MIN_SWEEP_SIZE);
     }
 }
--- a/src/decide/retry/evidence.rs
+++ b/src/decide/retry/evidence.rs
@@ -1,33 +1,33 @@
-//! What is known of an attempt that did not end in a whole answer, and what may be said and done by it.
+//! Evidence of whether a failed attempt ran, and what may be reported and retried on it.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::catalogue::Repeat;
 
-/// What is known of an attempt that did not end in a whole answer.
+/// What is known of an attempt that ended without a complete answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Evidence {
-    /// No byte of it was written to an upstream: no connection came about, or it was given up before.
+    /// Nothing was sent to an upstream.
     NothingSent,
-    /// The upstream itself said that it did not run it.
+    /// The upstream reported that the attempt did not run.
     SaidNotRun,
-    /// Its start was asked of the ledger, and whether that was committed isn't known.
+    /// The ledger was asked to record its start, and whether it did is unknown.
     ClaimUnsure,
-    /// Bytes of it were written, and no answer came.
+    /// Part or all of the request was sent, and no answer came.
     BytesSent,
-    /// The answer began and broke off; none of it was passed on to the caller.
+    /// The answer was cut off; none of it was sent to the caller.
     AnswerBegun,
-    /// The answer began and broke off after some of it was passed on to the caller.
+    /// The answer was cut off after part of it was sent to the caller.
     PassedOn,
 }
 
-/// Whether a request ran, as it is told to the caller.
+/// Whether a request ran, as reported to the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Ran {
-    /// It ran nowhere.
+    /// It did not run.
     No,
     /// It may have run.
     Unknown,
@@ -42,9 +42,9 @@
         }
     }
 
-    /// Whether another attempt may be made. One that ran or may have run is repeated only where that is
-    /// harmless, and never behind a piece of an answer that the caller has already: two answers would be
-    /// spliced into one. An unsure claim is settled by the ledger alone.
+    /// Whether another attempt may be made. One that may have run is repeated only if the request allows it, and never
+    /// after the caller has received part of an answer. Whether an uncertain claim was recorded only the ledger can
+    /// tell.
     pub fn may_repeat(self, repeat: Repeat) -> bool {
         match self {
             Self::NothingSent | Self::SaidNotRun => true,
@@ -55,8 +55,8 @@
 }
 
 impl Ran {
-    /// What may be told after these attempts: `No` only if each of them surely did not run. This is the one place
-    /// where it is decided.
+    /// What to report after these attempts: `No` only if none of them can have run. All code that reports this must use
+    /// this function.
     pub fn after(attempts: &[Evidence]) -> Self {
         let none = attempts.iter().all(|evidence| evidence.is_surely_not_run());
         if none { Self::No } else { Self::Unknown }
--- a/src/decide/retry/hedge.rs
+++ b/src/decide/retry/hedge.rs
@@ -1,29 +1,28 @@
-//! Hedging: a second attempt of a short repeatable request that is late, on another upstream.
+//! Hedging: a second attempt of a slow, short and repeatable request on another upstream.
 //!
-//! Load pattern: now and then an upstream stalls for seconds (a long prompt beside it, a lost packet, a paused
-//! process), and a short lookup on it is late though all others are idle. Without hedging the caller waits the
-//! stall out. Hedged at the 95th percentile and within a budget of 5%, it costs at most 5% more short work; without
-//! the budget an overload makes all requests late, and hedging would then double it.
+//! A single upstream may stall for seconds while others are idle. A request slower than the 95th percentile is sent to
+//! a second upstream. The budget of 5% keeps hedging from doubling the load when all requests are slow.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
+use super::budget::BudgetConfig;
 use super::budget::Budgets;
-use super::budget::Terms;
 use super::quantile::Quantile;
 use crate::catalogue::Class;
 use crate::catalogue::Repeat;
 use crate::id;
 
-/// The share of requests that are faster than the time after which a request counts as late.
-pub const LATE: f64 = 0.95;
+/// The quantile of latencies after which a request is hedged.
+pub const LATENCY_QUANTILE: f64 = 0.95;
 
-/// The most second attempts, as a share of first ones: what lies beyond [`LATE`] when nothing is wrong.
-pub const TERMS: Terms = Terms { ratio: 0.05, most: 5.0, trickle: Duration::from_secs(60) };
+/// The budget for second attempts: the fraction of requests that is slower than [`LATENCY_QUANTILE`] in normal operation.
+pub const HEDGE_BUDGET: BudgetConfig =
+    BudgetConfig { ratio: 0.05, capacity: 5.0, refill_interval: Duration::from_secs(60) };
 
-/// Decides when a second attempt is made.
+/// Decides when to make a second attempt.
 #[derive(Debug)]
 pub struct Hedge {
     latencies: HashMap<id::Model, Quantile>,
@@ -37,12 +36,12 @@
 }
 
 impl Hedge {
-    /// Nothing is known yet.
+    /// Creates a hedge without latencies.
     pub fn new() -> Self {
-        Self { latencies: HashMap::new(), budgets: Budgets::new(TERMS) }
+        Self { latencies: HashMap::new(), budgets: Budgets::new(HEDGE_BUDGET) }
     }
 
-    /// A first attempt is made: the time after which a second one should be asked for, if ever.
+    /// Records a first attempt; returns the time after which to call [`Self::try_start`], if the request may be hedged.
     pub fn after(
         &mut self,
         model: &id::Model,
@@ -58,21 +57,20 @@
         self.latencies.get(model)?.get()
     }
 
-    /// That time is over without an answer: whether the second attempt may be made, which is charged then. It
-    /// must go to another upstream with a free slot, and is not made where there is none.
-    pub fn begin(&mut self, model: &id::Model, now: Instant) -> bool {
-        if !self.budgets.has(model, now) {
+    /// Whether a second attempt may be made, and charges it if so. It must go to another upstream with a free slot.
+    pub fn try_start(&mut self, model: &id::Model, now: Instant) -> bool {
+        if !self.budgets.has_token(model, now) {
             return false;
         }
         self.budgets.withdraw(model, now);
         true
     }
 
-    /// A short request was answered, so long after its first attempt.
+    /// Records the latency of a short request, from its first attempt.
     pub fn answered(&mut self, model: &id::Model, latency: Duration) {
         match self.latencies.get_mut(model) {
             Some(quantile) => quantile.add(latency),
-            None => drop(self.latencies.insert(model.clone(), Quantile::new(LATE))),
+            None => drop(self.latencies.insert(model.clone(), Quantile::new(LATENCY_QUANTILE))),
         }
     }
 }
--- a/src/decide/retry/race.rs
+++ b/src/decide/retry/race.rs
@@ -1,33 +1,33 @@
-//! Two attempts of one request, of which one answers the caller.
+//! Two concurrent attempts of one request, of which only one answers the caller.
 
 use crate::id;
 
-/// The attempts of a hedged request that still run.
+/// The running attempts of a hedged request.
 #[derive(Debug)]
 pub struct Race {
     running: Vec<id::Attempt>,
     winner: Option<id::Attempt>,
 }
 
-/// What to do with an answer that begins.
+/// What to do with an attempt's answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answer {
-    /// It goes to the caller; these other attempts are cancelled, and their connections closed.
+    /// Send it to the caller; cancel the other attempts and close their connections.
     Wins {
-        /// The attempts that lost.
+        /// The attempts to cancel.
         cancel: Vec<id::Attempt>,
     },
-    /// Another one answers already: drop it.
+    /// Drop it; another attempt is already answering.
     Late,
 }
 
 impl Race {
-    /// A request with its first attempt.
+    /// Starts with the first attempt.
     pub fn new(first: id::Attempt) -> Self {
         Self { running: vec![first], winner: None }
     }
 
-    /// The second attempt is made; false if the first one answers already, so that none should be.
+    /// Adds a second attempt; returns false if the first one is already answering and none should be made.
     pub fn hedged(&mut self, second: id::Attempt) -> bool {
         if self.winner.is_some() {
             return false;
@@ -36,7 +36,7 @@
         true
     }
 
-    /// The answer of an attempt begins.
+    /// Handles the start of an attempt's answer.
     pub fn answers(&mut self, attempt: id::Attempt) -> Answer {
         if self.winner.is_some() || !self.running.contains(&attempt) {
             return Answer::Late;
@@ -47,7 +47,7 @@
         Answer::Wins { cancel }
     }
 
-    /// An attempt failed before it answered; true if none is left that could answer.
+    /// Records a failed attempt; returns true if no attempt is running any more.
     pub fn failed(&mut self, attempt: id::Attempt) -> bool {
         self.running.retain(|&other| other != attempt);
         self.running.is_empty()
--- a/src/decide/retry/tests/evidence.rs
+++ b/src/decide/retry/tests/evidence.rs
@@ -6,18 +6,18 @@
 use yare::parameterized;
 
 use crate::catalogue::Repeat;
-use crate::decide::retry::ATTEMPTS;
+use crate::decide::retry::Decision;
 use crate::decide::retry::Evidence;
 use crate::decide::retry::Failure;
 use crate::decide::retry::Layer;
+use crate::decide::retry::MAX_ATTEMPTS;
 use crate::decide::retry::Ran;
 use crate::decide::retry::Reason;
 use crate::decide::retry::Retry;
-use crate::decide::retry::Verdict;
 use crate::id;
 
-// A debit must not be taken twice. Whatever is known of the attempts, a request that may run but once is only
-// tried again where nothing ran, and its caller is told `no` only where nothing ran.
+// Guards against running a request twice that must run at most once, and against reporting that a request did not run
+// when it may have.
 #[parameterized(
     nothing_sent = { &[Evidence::NothingSent], true, true, Ran::No },
     said_not_run = { &[Evidence::NothingSent, Evidence::SaidNotRun], true, true, Ran::No },
@@ -37,13 +37,13 @@
             repeat,
             evidence: attempts,
             layer: Layer::First,
-            left: Duration::from_secs(60),
+            time_left: Duration::from_secs(60),
             expected: Duration::from_secs(1),
         };
         let mut rng = SmallRng::seed_from_u64(1);
         match Retry::new().decide(&failure, Instant::now(), &mut rng) {
-            Verdict::Retry { .. } => assert!(expected),
-            Verdict::GiveUp { reason, ran: told, .. } => {
+            Decision::Retry { .. } => assert!(expected),
+            Decision::GiveUp { reason, ran: told, .. } => {
                 assert!(!expected);
                 assert_eq!((reason, told), (Reason::MayHaveRun, ran));
             }
@@ -53,8 +53,8 @@
 }
 
 #[parameterized(
-    forwarded = { Layer::Forwarded, 1, 60, Reason::NotOurs },
-    often_enough = { Layer::First, ATTEMPTS, 60, Reason::Attempts },
+    forwarded = { Layer::Forwarded, 1, 60, Reason::NotFirstVm },
+    often_enough = { Layer::First, MAX_ATTEMPTS, 60, Reason::AttemptLimit },
     too_late = { Layer::First, 1, 1, Reason::Deadline },
 )]
 fn when_it_is_given_up(layer: Layer, made: u32, left: u64, expected: Reason) {
@@ -65,11 +65,11 @@
         repeat: Repeat::Allowed,
         evidence: &evidence,
         layer,
-        left: Duration::from_secs(left),
+        time_left: Duration::from_secs(left),
         expected: Duration::from_secs(1),
     };
-    let verdict = Retry::new().decide(&failure, Instant::now(), &mut SmallRng::seed_from_u64(1));
-    let Verdict::GiveUp { reason, ran, come_back } = verdict else { panic!("tried again") };
+    let decision = Retry::new().decide(&failure, Instant::now(), &mut SmallRng::seed_from_u64(1));
+    let Decision::GiveUp { reason, ran, retry_after } = decision else { panic!("tried again") };
     assert_eq!((reason, ran), (expected, Ran::No));
-    assert!(come_back >= Duration::from_secs(1) && come_back <= Duration::from_secs(5));
+    assert!(retry_after >= Duration::from_secs(1) && retry_after <= Duration::from_secs(5));
 }
--- a/src/decide/retry/tests/hedge.rs
+++ b/src/decide/retry/tests/hedge.rs
@@ -26,7 +26,7 @@
     assert_eq!(hedge.after(&model(), class, repeat, Instant::now()), None);
 }
 
-// Both attempts answer in the same moment: the caller gets the first one whole and nothing of the other.
+// Guards against mixing the answers of two attempts.
 #[test]
 fn one_answer_wins() {
     let (first, second) = (id::Attempt::new(1), id::Attempt::new(2));
@@ -37,7 +37,7 @@
     assert!(!race.hedged(id::Attempt::new(3)));
 }
 
-// The first attempt fails while the second runs: the request isn't lost before both are.
+// Guards against giving up a request while one of its attempts is still running.
 #[test]
 fn one_of_two_may_fail() {
     let (first, second) = (id::Attempt::new(1), id::Attempt::new(2));
--- a/src/entry/dispatch.rs
+++ b/src/entry/dispatch.rs
@@ -24,7 +24,6 @@
 use crate::decide::retry::Hedge;
 use crate::decide::retry::Layer;
 use crate::decide::retry::Retry;
-use crate::decide::retry::Verdict;
 use crate::decide::route::Outcome;
 use crate::decide::route::Route;
 use crate::decide::spill::Spill;
@@ -193,7 +192,7 @@
 
     /// A request's first attempt is about to be made.
     pub fn began(&mut self, job: &Job, now: Instant) {
-        self.retry.began(&job.entry.owner, &job.model, now);
+        self.retry.first_attempt(&job.entry.owner, &job.model, now);
     }
 
     /// What becomes of a request whose last attempt failed.
@@ -203,14 +202,14 @@
         evidence: &[Evidence],
         layer: Layer,
         now: Instant,
-    ) -> Verdict {
+    ) -> retry::Decision {
         let failure = retry::Failure {
             owner: &job.entry.owner,
             model: &job.model,
             repeat: job.entry.repeat,
             evidence,
             layer,
-            left: job.deadline.saturating_duration_since(now),
+            time_left: job.deadline.saturating_duration_since(now),
             expected: self.expected(&job.entry.name, job.entry.class),
         };
         self.retry.decide(&failure, now, &mut self.rng)
@@ -231,7 +230,7 @@
         }
         let chosen = self.route.pick(&job.facts(&avoid), now, &mut self.rng)?;
         let upstream = self.upstreams.get(&chosen)?.announcement.clone();
-        if !self.hedge.begin(&job.model, now) {
+        if !self.hedge.try_start(&job.model, now) {
             return None;
         }
         self.route.sent(&chosen, now);
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -18,7 +18,6 @@
 use crate::decide::retry;
 use crate::decide::retry::Evidence;
 use crate::decide::retry::Layer;
-use crate::decide::retry::Verdict;
 use crate::decide::spill;
 use crate::decide::spill::Journey;
 use crate::entry::Hub;
@@ -379,19 +378,19 @@
 ) -> Result<(), Refusal> {
     let now = Instant::now();
     let layer = if job.is_forwarded() { Layer::Forwarded } else { Layer::First };
-    let verdict = hub.dispatch().failed(job, evidence, layer, now);
-    match verdict {
-        Verdict::Retry { after } => {
+    let decision = hub.dispatch().failed(job, evidence, layer, now);
+    match decision {
+        retry::Decision::Retry { after } => {
             time::sleep(after).await;
             Ok(())
         }
-        Verdict::GiveUp { reason, ran, come_back } => {
+        retry::Decision::GiveUp { reason, ran, retry_after } => {
             let why = format!("{}; {}", failure.why, told(reason));
             let reason = match now >= job.deadline {
                 true => Reason::TooLate,
                 false => Reason::UpstreamFailed,
             };
-            Err(Refusal::new(reason, why).with_ran(ran).with_retry_after(come_back))
+            Err(Refusal::new(reason, why).with_ran(ran).with_retry_after(retry_after))
         }
     }
 }
@@ -399,8 +398,8 @@
 fn told(reason: retry::Reason) -> &'static str {
     match reason {
         retry::Reason::MayHaveRun => "it may have run, and is not run again",
-        retry::Reason::NotOurs => "the VM that was asked first decides",
-        retry::Reason::Attempts => "it was tried often enough",
+        retry::Reason::NotFirstVm => "the VM that was asked first decides",
+        retry::Reason::AttemptLimit => "it was tried often enough",
         retry::Reason::Deadline => "another attempt would miss the deadline",
         retry::Reason::OwnerBudget => "the owner's retries are used up",
         retry::Reason::UpstreamBudget => "the upstreams' retries are used up",
--- a/src/gateway/hub.rs
+++ b/src/gateway/hub.rs
@@ -32,7 +32,7 @@
 use crate::decide::place::Place;
 use crate::decide::place::Regions;
 use crate::decide::quota::Meter;
-use crate::decide::retry::repeats::Bound;
+use crate::decide::retry::repeats::RepeatLimit;
 use crate::decide::retry::repeats::Repeats;
 use crate::directory::lookup;
 use crate::http::client::Client;
@@ -401,24 +401,24 @@
     /// Whether a request to the service may be sent once more.
     pub fn may_repeat(&self, service: &str) -> bool {
         let vms = self.merged().all_vms(Role::Entry).count() as u32;
-        self.with_repeats(service, |repeats| repeats.take(vms, Instant::now()))
+        self.with_repeats(service, |repeats| repeats.try_acquire(vms, Instant::now()))
     }
 
     /// A request to the service is sent for the first time.
     pub fn first_sent(&self, service: &str) {
-        self.with_repeats(service, |repeats| repeats.first(Instant::now()));
+        self.with_repeats(service, |repeats| repeats.record_first(Instant::now()));
     }
 
     fn with_repeats<T>(&self, service: &str, act: impl FnOnce(&mut Repeats) -> T) -> T {
         let bounds = &self.node.bounds;
-        let bound = Bound {
+        let limit = RepeatLimit {
             ratio: bounds.repeat_ratio,
-            least: bounds.repeat_least,
+            minimum: bounds.repeat_least,
             window: bounds.repeat_window,
         };
         let mut all = self.repeats.lock().expect("no panic while locked");
         if !all.contains_key(service) {
-            all.insert(service.to_owned(), Repeats::new(bound));
+            all.insert(service.to_owned(), Repeats::new(limit));
         }
         act(all.get_mut(service).expect("it was just inserted where it was missing"))
     }
--- a/tests/load/hedging.rs
+++ b/tests/load/hedging.rs
@@ -28,7 +28,7 @@
         if let Some(hedge) = &mut hedge {
             let late = hedge.after(&model(), Class::Short, Repeat::Allowed, now);
             let late = late.map(|late| late.as_secs_f64()).filter(|&late| latency > late);
-            if let Some(late) = late.filter(|_| hedge.begin(&model(), now)) {
+            if let Some(late) = late.filter(|_| hedge.try_start(&model(), now)) {
                 seconds += 1;
                 latency = latency.min(late + take(&mut rng));
             }
