--- a/benches/decide/route.rs
+++ b/benches/decide/route.rs
@@ -17,11 +17,11 @@
 use masticstream::decide::retry::Failure;
 use masticstream::decide::retry::Layer;
 use masticstream::decide::retry::Retry;
-use masticstream::decide::route::Change;
-use masticstream::decide::route::Event;
-use masticstream::decide::route::Facts;
+use masticstream::decide::route::CacheChange;
+use masticstream::decide::route::CacheEvent;
+use masticstream::decide::route::Criteria;
 use masticstream::decide::route::Outcome;
-use masticstream::decide::route::Route;
+use masticstream::decide::route::Router;
 use masticstream::decide::spill;
 use masticstream::decide::spill::Digest;
 use masticstream::decide::spill::Journey;
@@ -80,14 +80,14 @@
     }
 }
 
-fn route(now: Instant) -> Route {
-    let mut route = Route::new(&"vm-1".parse().expect("a name"));
+fn route(now: Instant) -> Router {
+    let mut route = Router::new(&"vm-1".parse().expect("a name"));
     for number in 0..UPSTREAMS {
-        route.announced(&announcement(number), now);
-        route.reported(&load(number, 1), now);
-        let change = Change::Stored(vec![number as u64 % 100, 1_000 + number as u64 % 100]);
-        let event = Event { incarnation: Incarnation::new(1), sequence: 1, change };
-        route.cached(&upstream(number), &event);
+        route.update_announcement(&announcement(number), now);
+        route.update_load(&load(number, 1), now);
+        let change = CacheChange::Stored(vec![number as u64 % 100, 1_000 + number as u64 % 100]);
+        let event = CacheEvent { incarnation: Incarnation::new(1), sequence: 1, change };
+        route.update_cache(&upstream(number), &event);
     }
     route
 }
@@ -95,7 +95,7 @@
 fn routing(c: &mut Criterion) {
     let (now, model, mut rng) = (Instant::now(), model(), SmallRng::seed_from_u64(1));
     let mut route = route(now);
-    let plain = Facts::new(&model, Class::Short);
+    let plain = Criteria::new(&model, Class::Short);
     c.bench_function("route: pick", |b| b.iter(|| black_box(route.pick(&plain, now, &mut rng))));
     let known = plain.clone().with_prefix(&[7, 1_007, 2_007]);
     c.bench_function("route: pick, prefix held", |b| {
@@ -108,15 +108,15 @@
     let (engine, took) = (upstream(9), Duration::from_secs(1));
     c.bench_function("route: sent and finished", |b| {
         b.iter(|| {
-            route.sent(&engine, now);
-            route.finished(&engine, &plain, Outcome::Answered, took, now);
+            route.start_attempt(&engine, now);
+            route.finish_attempt(&engine, &plain, Outcome::Answered, took, now);
         });
     });
     let mut sequence = 1;
     c.bench_function("route: load report", |b| {
         b.iter(|| {
             sequence += 1;
-            route.reported(&load(9, sequence), now);
+            route.update_load(&load(9, sequence), now);
         });
     });
     let mut later = now;
--- a/src/capacity/decide.rs
+++ b/src/capacity/decide.rs
@@ -18,8 +18,8 @@
 use crate::decide::queue::Capacity;
 use crate::decide::queue::Queue;
 use crate::decide::queue::Ticket;
-use crate::decide::route::Facts;
-use crate::decide::route::Route;
+use crate::decide::route::Criteria;
+use crate::decide::route::Router;
 use crate::id;
 use crate::unit::Bytes;
 use crate::unit::Incarnation;
@@ -137,10 +137,10 @@
 fn routed(count: usize) -> [f64; 3] {
     let now = Instant::now();
     let build = || {
-        let mut route = Route::new(&"region-0-vm-001".parse().expect("a name"));
+        let mut route = Router::new(&"region-0-vm-001".parse().expect("a name"));
         for number in 0..count {
             let announcement = announcement(number, "storm");
-            route.announced(&announcement, now);
+            route.update_announcement(&announcement, now);
             let load = Load {
                 upstream: announcement.id,
                 incarnation: Incarnation::new(1),
@@ -149,14 +149,14 @@
                 waiting: 0,
                 age: Duration::ZERO,
             };
-            route.reported(&load, now);
+            route.update_load(&load, now);
         }
         route
     };
     let memory = meter::memory(build);
     let mut route = build();
     let model: id::Model = "storm".parse().expect("a name");
-    let (facts, mut rng) = (Facts::new(&model, Class::Short), SmallRng::seed_from_u64(1));
+    let (facts, mut rng) = (Criteria::new(&model, Class::Short), SmallRng::seed_from_u64(1));
     let pick = meter::nanos(|| route.pick(&facts, now, &mut rng));
     let mut later = now;
     let refresh = meter::nanos(|| {
--- a/src/decide/route.rs
+++ b/src/decide/route.rs
@@ -1,27 +1,29 @@
-//! Route: which upstream runs a request.
+//! Selects the upstream that runs a request.
 //!
-//! Load patterns answered, and what happens without:
-//! - *Stale load reports.* They lag by seconds. VMs that send to whatever was least loaded then all run after
-//!   the same upstream, and its queue alone makes requests late. Here each VM counts its own requests exactly,
-//!   trusts a report less the older it is, and takes the best of a few at random.
-//! - *A slow or failing upstream.* Round robin goes on sending it its share. Here its latencies count against
-//!   it, and an outlier is ejected for a while, but never more than half of those that could serve.
-//! - *A hot prefix.* Random choice computes the same prefix on each upstream; strict affinity overloads one.
-//!   Here the holders of the prefix, or two upstreams that all VMs find by its hash, go first while their load
-//!   is within a bound of the mean.
-//! - *A new upstream.* Least loaded and cold, it would draw all the traffic; its share grows over 30 s.
-//! - *A large region.* A VM picks at random from a subset, so that it needs the load of few upstreams only.
+//! Load patterns handled, and what happens without this module:
+//! - *Stale load reports.* Reports are seconds old. If every VM picks the least loaded upstream by
+//!   the same report, all of them overload it at once. Each VM counts its own requests exactly,
+//!   discounts a report by its age, and picks the best of a few random candidates.
+//! - *A slow or failing upstream.* Round robin keeps sending it a full share. Latency lowers its
+//!   score, and an outlier is ejected for a while; at most half of the upstreams of a model are
+//!   ejected at a time.
+//! - *A hot prefix.* Random choice recomputes the prefix on every upstream, and strict affinity
+//!   overloads one. Known holders of the prefix, or else two upstreams chosen by rendezvous hash,
+//!   are preferred while their load is within a bound of the mean.
+//! - *A new upstream.* It is the least loaded one and has a cold cache, so it would attract all
+//!   traffic. Slow start raises its share over 30 s.
+//! - *A large region.* Each VM picks from a subset, so that it needs the load of few upstreams.
 //!
-//! The grounds for each figure stand beside it; the ways weighed are in `docs/design/route.md`.
+//! Alternatives are compared in `docs/design/route.md`.
 
 mod choice;
+mod criteria;
 mod ejection;
 mod ewma;
-mod facts;
 mod group;
 mod prefix;
 pub mod rendezvous;
-mod tracked;
+mod state;
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -30,263 +32,274 @@
 use tokio::time::Instant;
 
 use self::group::Group;
-use self::tracked::Tracked;
+use self::state::UpstreamState;
 use crate::catalogue::Class;
 use crate::id;
 use crate::unit::Slots;
 use crate::upstream::Announcement;
 use crate::upstream::Load;
 
+pub use criteria::Criteria;
+pub use criteria::Outcome;
 pub use ewma::Ewma;
-pub use facts::Facts;
-pub use facts::Outcome;
-pub use prefix::Change;
-pub use prefix::Event;
+pub use prefix::CacheChange;
+pub use prefix::CacheEvent;
 
-/// An upstream so many times slower than the median of its like is ejected; see `Ewma` for why that is no accident.
-const OUTLIER: f64 = 3.0;
+/// Ejects an upstream whose latency is this many times the median of its model.
+const OUTLIER_RATIO: f64 = 3.0;
 
-/// How many answers must be in before an upstream is called slow.
-const ENOUGH: u32 = 5;
+/// Answers required before an upstream can be ejected for latency.
+const MIN_SAMPLES: u32 = 5;
 
-/// How many upstreams of a model a VM picks from. With 117 VMs of a region and 283 upstreams each upstream is
-/// followed by 13 VMs give or take 4, and the shared slots even out the rest.
-pub const FOLLOWED: usize = 32;
+/// Upstreams of a model that a VM picks from.
+pub const SUBSET_SIZE: usize = 32;
 
-/// For each waiting request, slots are asked for on so many upstreams.
-const ASKED: usize = 2;
+/// Upstreams at which a slot is requested for each waiting request.
+const SLOTS_PER_WAITING: usize = 2;
 
-/// What a VM has inside an upstream, and could have.
+/// The slots of an upstream that this VM uses and wants.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Demand {
     /// The upstream.
     pub upstream: id::Upstream,
-    /// The slots that its requests take.
+    /// Slots in use by this VM's requests.
     pub running: Slots,
-    /// The slots that it could use.
+    /// Slots that this VM could use.
     pub wanted: Slots,
 }
 
-/// Chooses upstreams and learns from what becomes of the attempts.
+/// Selects upstreams and learns from the outcomes of attempts.
 #[derive(Debug, Default)]
-pub struct Route {
+pub struct Router {
     seed: u64,
-    numbers: HashMap<id::Upstream, u32>,
-    tracked: Vec<Option<Tracked>>,
+    indices: HashMap<id::Upstream, u32>,
+    upstreams: Vec<Option<UpstreamState>>,
     groups: HashMap<id::Model, Group>,
-    index: prefix::Index,
+    prefix_index: prefix::Index,
 }
 
-impl Route {
-    /// A choice among none yet, for this VM: its name decides which upstreams it follows in a large region.
+impl Router {
+    /// Creates a router without upstreams. The VM's name seeds its subset of a large region.
     pub fn new(vm: &id::Vm) -> Self {
         Self { seed: rendezvous::weight(0, vm.as_str()), ..Self::default() }
     }
 
-    /// Adds an upstream, or takes its new announcement.
-    pub fn announced(&mut self, announcement: &Announcement, now: Instant) {
-        let number = self.number(&announcement.id);
-        let place = &mut self.tracked[number as usize];
-        let old = place.as_ref().filter(|t| !t.leaving).map(|t| t.announcement.models.clone());
-        match place {
-            Some(tracked) => tracked.announced(announcement.clone(), now),
-            None => *place = Some(Tracked::new(announcement.clone(), now)),
+    /// Adds an upstream or updates its announcement.
+    pub fn update_announcement(&mut self, announcement: &Announcement, now: Instant) {
+        let index = self.index_of(&announcement.id);
+        let entry = &mut self.upstreams[index as usize];
+        let old = entry.as_ref().filter(|t| !t.removed).map(|t| t.announcement.models.clone());
+        match entry {
+            Some(state) => state.update_announcement(announcement.clone(), now),
+            None => *entry = Some(UpstreamState::new(announcement.clone(), now)),
         }
         if old.as_ref() != Some(&announcement.models) {
-            self.regroup(old.iter().flatten(), number);
-            self.regroup(announcement.models.iter(), number);
+            self.update_groups(old.iter().flatten(), index);
+            self.update_groups(announcement.models.iter(), index);
         }
     }
 
-    /// An upstream left, or its lease ran out: it gets nothing new, and what runs there is still counted.
-    pub fn removed(&mut self, upstream: &id::Upstream) {
-        let Some(&number) = self.numbers.get(upstream) else { return };
-        let Some(tracked) = &mut self.tracked[number as usize] else { return };
-        tracked.leaving = true;
-        let models = tracked.announcement.models.clone();
-        self.regroup(models.iter(), number);
-        self.index.forget(number);
-        self.drop_idle(number);
+    /// Removes an upstream. It gets no new requests; those still running there stay counted.
+    pub fn remove(&mut self, upstream: &id::Upstream) {
+        let Some(&index) = self.indices.get(upstream) else { return };
+        let Some(state) = &mut self.upstreams[index as usize] else { return };
+        state.removed = true;
+        let models = state.announcement.models.clone();
+        self.update_groups(models.iter(), index);
+        self.prefix_index.remove_upstream(index);
+        self.remove_if_idle(index);
     }
 
-    /// How many requests this VM may have inside the upstream at once; all its slots until this is told.
-    pub fn leased(&mut self, upstream: &id::Upstream, slots: Slots) {
-        if let Some(tracked) = self.get_mut(upstream) {
-            tracked.leased = Some(slots);
+    /// Limits the requests that this VM may run on the upstream at once. Until then the limit is
+    /// all of the upstream's slots.
+    pub fn set_leased_slots(&mut self, upstream: &id::Upstream, slots: Slots) {
+        if let Some(state) = self.get_mut(upstream) {
+            state.leased_slots = Some(slots);
         }
     }
 
-    /// Whether the upstream is being drained for an order (`order::Step::Drain` and `Resume`).
-    pub fn drained(&mut self, upstream: &id::Upstream, draining: bool) {
-        if let Some(tracked) = self.get_mut(upstream) {
-            tracked.draining = draining;
+    /// Starts or stops draining an upstream for an order (`order::Step::Drain` and `Resume`).
+    pub fn set_draining(&mut self, upstream: &id::Upstream, draining: bool) {
+        if let Some(state) = self.get_mut(upstream) {
+            state.draining = draining;
         }
     }
 
-    /// The upstream for a request, or none where all that fit are full: then it waits here, not in an engine.
+    /// Picks an upstream for a request. Returns `None` if all matching upstreams are full; the
+    /// request then waits in this VM's queue rather than in an engine's.
     pub fn pick(
         &mut self,
-        facts: &Facts<'_>,
+        criteria: &Criteria<'_>,
         now: Instant,
         rng: &mut impl Rng,
     ) -> Option<id::Upstream> {
-        let group = self.groups.get_mut(facts.model)?;
-        group.refresh(&self.tracked, now);
-        let number = match self.affine(facts, now, rng) {
-            Some(number) => number,
+        let group = self.groups.get_mut(criteria.model)?;
+        group.refresh_stats(&self.upstreams, now);
+        let index = match self.pick_by_prefix(criteria, now, rng) {
+            Some(index) => index,
             None => {
-                let wished = self.note_missed(facts, now);
-                if wished && !facts.patience.is_zero() {
+                let has_preferred = self.record_affinity_miss(criteria, now);
+                if has_preferred && !criteria.affinity_wait.is_zero() {
                     return None;
                 }
-                self.any(facts, now, rng)?
+                self.pick_random(criteria, now, rng)?
             }
         };
-        self.tracked[number as usize].as_ref().map(|tracked| tracked.announcement.id.clone())
+        self.upstreams[index as usize].as_ref().map(|state| state.announcement.id.clone())
     }
 
-    /// Whether any upstream could run the request, full or not. Where none could, waiting doesn't help.
-    pub fn is_servable(&self, facts: &Facts<'_>) -> bool {
-        let Some(group) = self.groups.get(facts.model) else { return false };
-        group.members.iter().any(|&u| self.fitting(u, facts).is_some())
+    /// Whether any upstream, full or not, could run the request. If not, queueing is pointless.
+    pub fn is_servable(&self, criteria: &Criteria<'_>) -> bool {
+        let Some(group) = self.groups.get(criteria.model) else { return false };
+        group.members.iter().any(|&u| self.eligible(u, criteria).is_some())
     }
 
-    /// What this VM has inside each upstream that it follows, and could have if it had slots enough for the requests
-    /// that wait here, by model; for `upstream::Pool::demand`.
+    /// Slots that this VM uses and wants on each upstream of its subsets, given the number of
+    /// waiting requests by model. Input of `upstream::Pool::demand`.
     pub fn demand(&self, waiting: &HashMap<id::Model, usize>, now: Instant) -> Vec<Demand> {
         let mut wanted: HashMap<u32, u64> = HashMap::new();
         for (model, group) in &self.groups {
-            group.followed.iter().for_each(|&u| *wanted.entry(u).or_default() += 0);
+            group.subset.iter().for_each(|&u| *wanted.entry(u).or_default() += 0);
             let count = waiting.get(model).copied().unwrap_or(0);
             if count > 0 {
-                self.spread(group, count, now, &mut wanted);
+                self.distribute_demand(group, count, now, &mut wanted);
             }
         }
-        let demand = |(number, tracked): (usize, &Option<Tracked>)| {
-            let tracked = tracked.as_ref()?;
-            let running = u64::from(tracked.own.running());
-            let more = u32::try_from(number).ok().and_then(|number| wanted.get(&number));
-            let followed = more.is_some() || running > 0 || tracked.missed(now) > 0.5;
-            let missed = tracked.missed(now).round() as u64;
-            let wanted = running + more.copied().unwrap_or(0) + missed;
-            followed.then(|| Demand {
-                upstream: tracked.announcement.id.clone(),
+        let demand = |(index, state): (usize, &Option<UpstreamState>)| {
+            let state = state.as_ref()?;
+            let running = u64::from(state.local.running());
+            let more = u32::try_from(index).ok().and_then(|index| wanted.get(&index));
+            let relevant = more.is_some() || running > 0 || state.affinity_misses(now) > 0.5;
+            let misses = state.affinity_misses(now).round() as u64;
+            let wanted = running + more.copied().unwrap_or(0) + misses;
+            relevant.then(|| Demand {
+                upstream: state.announcement.id.clone(),
                 running: Slots::new(running),
-                wanted: Slots::new(wanted.min(tracked.announcement.slots.get())),
+                wanted: Slots::new(wanted.min(state.announcement.slots.get())),
             })
         };
-        self.tracked.iter().enumerate().filter_map(demand).collect()
+        self.upstreams.iter().enumerate().filter_map(demand).collect()
     }
 
-    /// Spreads the slots that waiting requests ask for over the least used upstreams of a group, one after the other;
-    /// no request asks twice on the same one.
-    fn spread(&self, group: &Group, waiting: usize, now: Instant, wanted: &mut HashMap<u32, u64>) {
+    /// Distributes the slot demand of waiting requests over the least loaded upstreams of a group.
+    /// A request counts at most once per upstream.
+    fn distribute_demand(
+        &self,
+        group: &Group,
+        waiting: usize,
+        now: Instant,
+        wanted: &mut HashMap<u32, u64>,
+    ) {
         let usable = |&u: &u32| {
-            let tracked = self.tracked[u as usize].as_ref()?;
-            let out = tracked.draining || tracked.ejection.is_ejected(now);
-            (!out).then(|| (tracked.score(&group.stats, now), u))
+            let state = self.upstreams[u as usize].as_ref()?;
+            let unusable = state.draining || state.ejection.is_ejected(now);
+            (!unusable).then(|| (state.score(&group.stats, now), u))
         };
-        let mut scored: Vec<(f64, u32)> = group.followed.iter().filter_map(usable).collect();
+        let mut scored: Vec<(f64, u32)> = group.subset.iter().filter_map(usable).collect();
         scored.sort_unstable_by(|(a, _), (b, _)| a.total_cmp(b));
-        let (members, count) = (scored.len(), waiting * ASKED);
-        for (place, (_, number)) in scored.into_iter().enumerate().take(count) {
-            let rounds = count / members + usize::from(place < count % members);
-            *wanted.entry(number).or_default() += rounds.min(waiting) as u64;
+        let (members, count) = (scored.len(), waiting * SLOTS_PER_WAITING);
+        for (rank, (_, index)) in scored.into_iter().enumerate().take(count) {
+            let rounds = count / members + usize::from(rank < count % members);
+            *wanted.entry(index).or_default() += rounds.min(waiting) as u64;
         }
     }
 
-    /// An attempt is sent to the upstream.
-    pub fn sent(&mut self, upstream: &id::Upstream, now: Instant) {
-        if let Some(tracked) = self.get_mut(upstream) {
-            tracked.own.sent(now);
+    /// Records that an attempt was sent to the upstream.
+    pub fn start_attempt(&mut self, upstream: &id::Upstream, now: Instant) {
+        if let Some(state) = self.get_mut(upstream) {
+            state.local.sent(now);
         }
     }
 
-    /// An attempt for the model has ended, after that time; each [`Self::sent`] is followed by one of these.
-    pub fn finished(
+    /// Records the outcome of an attempt. Must follow each [`Self::start_attempt`] exactly once.
+    pub fn finish_attempt(
         &mut self,
         upstream: &id::Upstream,
-        facts: &Facts<'_>,
+        criteria: &Criteria<'_>,
         outcome: Outcome,
         latency: Duration,
         now: Instant,
     ) {
-        let Some(&number) = self.numbers.get(upstream) else { return };
-        let Some(tracked) = &mut self.tracked[number as usize] else { return };
-        tracked.own.finished(now);
+        let Some(&index) = self.indices.get(upstream) else { return };
+        let Some(state) = &mut self.upstreams[index as usize] else { return };
+        state.local.finished(now);
         match outcome {
-            Outcome::Answered => self.answered(number, facts.model, facts.class, latency, now),
-            Outcome::Failed if tracked.ejection.failed() => self.eject(number, facts.model, now),
-            Outcome::Full => tracked.full(now),
+            Outcome::Answered => {
+                self.record_success(index, criteria.model, criteria.class, latency, now);
+            }
+            Outcome::Failed if state.ejection.record_failure() => {
+                self.eject(index, criteria.model, now);
+            }
+            Outcome::Full => state.record_full(now),
             Outcome::Failed | Outcome::Cancelled => {}
         }
-        self.drop_idle(number);
+        self.remove_if_idle(index);
     }
 
-    /// A load report has come.
-    pub fn reported(&mut self, load: &Load, now: Instant) {
-        if let Some(tracked) = self.get_mut(&load.upstream) {
-            tracked.reported(load, now);
+    /// Applies a load report.
+    pub fn update_load(&mut self, load: &Load, now: Instant) {
+        if let Some(state) = self.get_mut(&load.upstream) {
+            state.update_load(load, now);
         }
     }
 
-    /// An event of an engine's prefix cache has come.
-    pub fn cached(&mut self, upstream: &id::Upstream, event: &Event) {
-        if let Some(&number) = self.numbers.get(upstream) {
-            self.index.take(number, event);
+    /// Applies an event of an engine's prefix cache.
+    pub fn update_cache(&mut self, upstream: &id::Upstream, event: &CacheEvent) {
+        if let Some(&index) = self.indices.get(upstream) {
+            self.prefix_index.apply(index, event);
         }
     }
 
-    /// Whether the upstream is ejected now.
+    /// Whether the upstream is ejected at `now`.
     pub fn is_ejected(&self, upstream: &id::Upstream, now: Instant) -> bool {
-        let number = self.numbers.get(upstream);
-        let tracked = number.and_then(|&number| self.tracked[number as usize].as_ref());
-        tracked.is_some_and(|tracked| tracked.ejection.is_ejected(now))
+        let index = self.indices.get(upstream);
+        let state = index.and_then(|&index| self.upstreams[index as usize].as_ref());
+        state.is_some_and(|state| state.ejection.is_ejected(now))
     }
 
-    fn get_mut(&mut self, upstream: &id::Upstream) -> Option<&mut Tracked> {
-        let &number = self.numbers.get(upstream)?;
-        self.tracked[number as usize].as_mut()
+    fn get_mut(&mut self, upstream: &id::Upstream) -> Option<&mut UpstreamState> {
+        let &index = self.indices.get(upstream)?;
+        self.upstreams[index as usize].as_mut()
     }
 
-    fn number(&mut self, upstream: &id::Upstream) -> u32 {
-        if let Some(&number) = self.numbers.get(upstream) {
-            return number;
+    fn index_of(&mut self, upstream: &id::Upstream) -> u32 {
+        if let Some(&index) = self.indices.get(upstream) {
+            return index;
         }
-        let free = self.tracked.iter().position(Option::is_none);
-        let place = free.unwrap_or_else(|| {
-            self.tracked.push(None);
-            self.tracked.len() - 1
+        let vacant = self.upstreams.iter().position(Option::is_none);
+        let position = vacant.unwrap_or_else(|| {
+            self.upstreams.push(None);
+            self.upstreams.len() - 1
         });
-        let number = u32::try_from(place).unwrap_or(u32::MAX);
-        self.numbers.insert(upstream.clone(), number);
-        number
+        let index = u32::try_from(position).unwrap_or(u32::MAX);
+        self.indices.insert(upstream.clone(), index);
+        index
     }
 
-    fn drop_idle(&mut self, number: u32) {
-        let place = &mut self.tracked[number as usize];
-        if let Some(gone) = place.take_if(|t| t.leaving && t.own.running() == 0) {
-            self.numbers.remove(&gone.announcement.id);
+    fn remove_if_idle(&mut self, index: u32) {
+        let entry = &mut self.upstreams[index as usize];
+        if let Some(removed) = entry.take_if(|t| t.removed && t.local.running() == 0) {
+            self.indices.remove(&removed.announcement.id);
         }
     }
 
-    /// Puts the upstream into the groups of these models, or takes it out, by what it announces now.
-    fn regroup<'a>(&mut self, models: impl Iterator<Item = &'a id::Model>, number: u32) {
+    /// Updates the upstream's membership in the groups of these models.
+    fn update_groups<'a>(&mut self, models: impl Iterator<Item = &'a id::Model>, index: u32) {
         for model in models {
-            let holds = |t: &Tracked| !t.leaving && t.announcement.models.contains(model);
-            let belongs = self.tracked[number as usize].as_ref().is_some_and(holds);
+            let has_model = |t: &UpstreamState| !t.removed && t.announcement.models.contains(model);
+            let is_member = self.upstreams[index as usize].as_ref().is_some_and(has_model);
             let group = self.groups.entry(model.clone()).or_default();
-            group.members.retain(|&member| member != number);
-            if belongs {
-                group.members.push(number);
+            group.members.retain(|&member| member != index);
+            if is_member {
+                group.members.push(index);
             }
-            group.homes.clear();
+            group.affinity_targets.clear();
             let names = group.members.iter().filter_map(|&member| {
-                let tracked = self.tracked[member as usize].as_ref()?;
-                Some((member, tracked.announcement.id.as_str()))
+                let state = self.upstreams[member as usize].as_ref()?;
+                Some((member, state.announcement.id.as_str()))
             });
-            group.followed = if group.members.len() > FOLLOWED {
-                rendezvous::top(self.seed, names, FOLLOWED)
+            group.subset = if group.members.len() > SUBSET_SIZE {
+                rendezvous::top(self.seed, names, SUBSET_SIZE)
             } else {
                 group.members.clone()
             };
@@ -296,53 +309,53 @@
         }
     }
 
-    fn fitting(&self, number: u32, facts: &Facts<'_>) -> Option<&Tracked> {
-        let tracked = self.tracked[number as usize].as_ref()?;
-        (!tracked.leaving && !tracked.draining && facts.fits(&tracked.announcement))
-            .then_some(tracked)
+    fn eligible(&self, index: u32, criteria: &Criteria<'_>) -> Option<&UpstreamState> {
+        let state = self.upstreams[index as usize].as_ref()?;
+        (!state.removed && !state.draining && criteria.matches(&state.announcement))
+            .then_some(state)
     }
 
-    /// An upstream that fits and isn't ejected, whether it has room or not.
-    fn healthy(&self, number: u32, facts: &Facts<'_>, now: Instant) -> Option<&Tracked> {
-        self.fitting(number, facts).filter(|tracked| !tracked.ejection.is_ejected(now))
+    /// Returns the upstream if it is eligible and not ejected, whether or not it has room.
+    fn healthy(&self, index: u32, criteria: &Criteria<'_>, now: Instant) -> Option<&UpstreamState> {
+        self.eligible(index, criteria).filter(|state| !state.ejection.is_ejected(now))
     }
 
-    fn answered(
+    fn record_success(
         &mut self,
-        number: u32,
+        index: u32,
         model: &id::Model,
         class: Class,
         latency: Duration,
         now: Instant,
     ) {
         let Some(group) = self.groups.get_mut(model) else { return };
-        let Some(tracked) = &mut self.tracked[number as usize] else { return };
-        tracked.slowness.add(group.answered(class, latency));
-        // One that was ejected before needs no second proof: each would make another caller wait.
-        let enough = if tracked.ejection.is_on_probation() { 1 } else { ENOUGH };
-        let slow = tracked.slowness.samples() >= enough
-            && tracked.relative_slowness(&group.stats) >= OUTLIER;
-        if slow {
-            self.eject(number, model, now);
-        } else if !tracked.ejection.is_ejected(now) {
-            tracked.ejection.answered();
+        let Some(state) = &mut self.upstreams[index as usize] else { return };
+        state.latency_ratio.add(group.record_latency(class, latency));
+        // After an ejection one slow answer is enough; waiting for more would delay more callers.
+        let min_samples = if state.ejection.is_on_probation() { 1 } else { MIN_SAMPLES };
+        let is_outlier = state.latency_ratio.samples() >= min_samples
+            && state.slowdown(&group.stats) >= OUTLIER_RATIO;
+        if is_outlier {
+            self.eject(index, model, now);
+        } else if !state.ejection.is_ejected(now) {
+            state.ejection.record_success();
         }
     }
 
-    /// Ejects an upstream, unless half of its like would then be out: a fault that hits most of them lies
-    /// elsewhere, and the rest could not bear the load.
-    fn eject(&mut self, number: u32, model: &id::Model, now: Instant) {
+    /// Ejects an upstream, unless that would eject more than half of the group. A fault in most
+    /// upstreams has another cause, and the rest could not carry the load.
+    fn eject(&mut self, index: u32, model: &id::Model, now: Instant) {
         let Some(group) = self.groups.get(model) else { return };
         let ejected = |&&u: &&u32| {
-            self.tracked[u as usize].as_ref().is_some_and(|t| t.ejection.is_ejected(now))
+            self.upstreams[u as usize].as_ref().is_some_and(|t| t.ejection.is_ejected(now))
         };
         let out = group.members.iter().filter(ejected).count();
-        let Some(tracked) = &mut self.tracked[number as usize] else { return };
-        if tracked.ejection.is_ejected(now) || (out + 1) * 2 > group.members.len() {
+        let Some(state) = &mut self.upstreams[index as usize] else { return };
+        if state.ejection.is_ejected(now) || (out + 1) * 2 > group.members.len() {
             return;
         }
-        tracked.ejection.eject(now);
-        tracked.slowness = ewma::Ewma::default();
+        state.ejection.eject(now);
+        state.latency_ratio = ewma::Ewma::default();
     }
 }
 
--- a/src/decide/route/ejection.rs
+++ b/src/decide/route/ejection.rs
@@ -1,8 +1,7 @@
-//! Outlier ejection: keeping off an upstream that fails or is far slower than its like.
+//! Outlier ejection: stops sending to an upstream that fails or is much slower than its peers.
 //!
-//! Load pattern: one upstream fails each request at once, or takes ten times as long, while it goes on renewing
-//! its lease. Without ejection an upstream that fails fast is always the least loaded one, and draws most of
-//! the traffic into failing.
+//! An upstream that fails fast always looks least loaded, so without ejection it attracts most of
+//! the traffic while it keeps renewing its lease.
 
 use std::time::Duration;
 
@@ -10,72 +9,72 @@
 
 use super::ewma::Ewma;
 
-/// So many failures in a row eject. One upstream that fails one request in ten for ordinary reasons is ejected
-/// by accident once in 100,000 requests.
-pub const FAILURES: u32 = 5;
+/// Consecutive failures that cause an ejection.
+pub const MAX_CONSECUTIVE_FAILURES: u32 = 5;
 
-/// So large a share of failures ejects too, for an upstream that answers now and then.
-pub const FAILING: f64 = 0.5;
+/// Failure rate that causes an ejection, for an upstream that still answers some requests.
+pub const MAX_FAILURE_RATE: f64 = 0.5;
 
-/// How many outcomes must be in before the share of failures counts.
-const ENOUGH: u32 = 10;
+/// Outcomes required before the failure rate is considered.
+const MIN_OUTCOMES: u32 = 10;
 
-/// How long the first ejection lasts; each following one lasts twice as long. Within 10 s a restarted process is
-/// mostly back, and at 60 requests a second to the upstream a wrong ejection costs but its share for 10 s.
-pub const FIRST: Duration = Duration::from_secs(10);
+/// Duration of the first ejection, enough for a process to restart; it doubles with each further
+/// one.
+pub const BASE_DURATION: Duration = Duration::from_secs(10);
 
-/// The longest ejection: a mended upstream is back within five minutes with nobody watching.
-pub const LONGEST: Duration = Duration::from_secs(300);
+/// Upper bound on the duration of an ejection.
+pub const MAX_DURATION: Duration = Duration::from_secs(300);
 
-/// Whether an upstream is ejected, and what led to it.
+/// Ejection state of an upstream.
 #[derive(Debug, Default)]
 pub struct Ejection {
-    failures: u32,
-    times: u32,
+    consecutive_failures: u32,
+    ejections: u32,
     until: Option<Instant>,
     probation: bool,
-    failing: Ewma,
+    failure_rate: Ewma,
 }
 
 impl Ejection {
-    /// Whether the upstream is kept off now.
     pub fn is_ejected(&self, now: Instant) -> bool {
         self.until.is_some_and(|until| now < until)
     }
 
-    /// Whether it was ejected and has not answered in good time since.
+    /// Whether it was ejected and has not answered in time since.
     pub fn is_on_probation(&self) -> bool {
         self.probation
     }
 
-    /// When the last ejection ended, or will end.
+    /// When the last ejection ended or will end.
     pub fn until(&self) -> Option<Instant> {
         self.until
     }
 
-    /// A request was answered in good time.
-    pub fn answered(&mut self) {
-        self.failing.add(0.0);
-        self.failures = 0;
+    /// Records a request that was answered in time.
+    pub fn record_success(&mut self) {
+        self.failure_rate.add(0.0);
+        self.consecutive_failures = 0;
         self.probation = false;
-        self.times = 0;
+        self.ejections = 0;
     }
 
-    /// A request failed; returns whether the upstream should be ejected. One that has just come back is ejected
-    /// again by a single failure, so that a dead one costs one request per ejection and not five.
-    pub fn failed(&mut self) -> bool {
-        self.failing.add(1.0);
-        self.failures += 1;
-        let share = self.failing.get().filter(|_| self.failing.samples() >= ENOUGH);
-        self.probation || self.failures >= FAILURES || share.is_some_and(|share| share >= FAILING)
+    /// Records a failure and returns whether the upstream should be ejected. On probation a single
+    /// failure is enough, so that a dead upstream costs one request per ejection.
+    pub fn record_failure(&mut self) -> bool {
+        self.failure_rate.add(1.0);
+        self.consecutive_failures += 1;
+        let share = self.failure_rate.get().filter(|_| self.failure_rate.samples() >= MIN_OUTCOMES);
+        self.probation
+            || self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
+            || share.is_some_and(|share| share >= MAX_FAILURE_RATE)
     }
 
-    /// Ejects the upstream.
+    /// Ejects the upstream from now on.
     pub fn eject(&mut self, now: Instant) {
-        let span = FIRST.saturating_mul(1 << self.times.min(5)).min(LONGEST);
-        self.times += 1;
-        self.failures = 0;
-        self.failing = Ewma::default();
+        let span = BASE_DURATION.saturating_mul(1 << self.ejections.min(5)).min(MAX_DURATION);
+        self.ejections += 1;
+        self.consecutive_failures = 0;
+        self.failure_rate = Ewma::default();
         self.probation = true;
         self.until = Some(now + span);
     }
--- a/src/decide/route/ewma.rs
+++ b/src/decide/route/ewma.rs
@@ -1,32 +1,31 @@
-//! A running mean that forgets.
+//! Exponentially weighted moving average.
 
-/// An exponentially weighted moving average. It starts as the plain mean of the first values, so that the
-/// first one alone doesn't stand for long.
+/// An exponentially weighted moving average. The first samples are averaged evenly, so that the
+/// first one alone doesn't dominate.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Ewma {
     value: f64,
     samples: u32,
 }
 
-/// The weight of a new value: about the last 19 values count. With exponential service times the average then
-/// strays from the true mean by 23% (one standard deviation), so that three times the mean is no accident,
-/// while an upstream ten times as slow passes three times the mean with its third answer.
+/// Minimum weight of a new sample. Small enough that three times the mean is a clear outlier with
+/// exponential service times.
 const WEIGHT: f64 = 0.1;
 
 impl Ewma {
-    /// Takes one value.
+    /// Adds a sample.
     pub fn add(&mut self, value: f64) {
         self.samples = self.samples.saturating_add(1);
         let weight = WEIGHT.max(1.0 / f64::from(self.samples));
         self.value += weight * (value - self.value);
     }
 
-    /// The average, where there is any value.
+    /// The average, or `None` without samples.
     pub fn get(&self) -> Option<f64> {
         (self.samples > 0).then_some(self.value)
     }
 
-    /// How many values were taken.
+    /// The number of samples added.
     pub fn samples(&self) -> u32 {
         self.samples
     }
--- a/src/decide/route/prefix.rs
+++ b/src/decide/route/prefix.rs
@@ -1,9 +1,9 @@
-//! Which upstreams hold the KV cache of which prompt prefix, as far as is known.
+//! Index of the upstreams whose KV cache holds a prompt prefix.
 //!
-//! Engines tell of their caches by events that come late and with gaps. A gap makes the index of that upstream
-//! stale: what it is said to hold may be gone. A stale entry is still the best guess and costs a recomputed
-//! prefix at worst, so it is used where no other upstream is known to hold the prefix, and nothing ever waits
-//! for the index to be whole.
+//! Engines report cache changes in events that arrive late and with gaps. A gap makes the entries
+//! of that upstream stale: the engine may have evicted them. A wrong entry costs at most a
+//! recomputed prefix, so stale entries are used if no upstream with current entries holds the
+//! prefix.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -11,63 +11,67 @@
 
 use crate::unit::Incarnation;
 
-/// The most prefixes kept; the ones told first are forgotten first. About 6 MB a VM, of 256 MB.
-const PREFIXES: usize = 65_536;
+/// Upper bound on indexed prefixes, about 6 MB; the oldest are evicted first.
+const MAX_PREFIXES: usize = 65_536;
 
-/// The most holders kept for one prefix: two are picked from, and a hot prefix spreads by load and not by this.
-const HOLDERS: usize = 8;
+/// Upper bound on holders per prefix.
+const MAX_HOLDERS: usize = 8;
 
-/// The deepest prefix that is looked up.
-const DEPTH: usize = 64;
+/// Longest list of prefixes looked up.
+const MAX_DEPTH: usize = 64;
 
-/// What an engine tells of its cache.
+/// A change of an engine's prefix cache.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Event {
-    /// The start of the engine that it comes from.
+pub struct CacheEvent {
+    /// The engine's incarnation.
     pub incarnation: Incarnation,
-    /// The number of the event within the incarnation; each follows the last.
+    /// Consecutive number within the incarnation.
     pub sequence: u64,
-    /// What happened.
-    pub change: Change,
+    /// The change.
+    pub change: CacheChange,
 }
 
-/// What happened to an engine's cache.
+/// The kind of a cache change.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Change {
-    /// It now holds these prefixes.
+pub enum CacheChange {
+    /// These prefixes were added.
     Stored(Vec<u64>),
-    /// It no longer holds these.
+    /// These prefixes were evicted.
     Removed(Vec<u64>),
-    /// It holds nothing but these; this ends staleness.
+    /// The cache holds exactly these prefixes; clears staleness.
     Reset(Vec<u64>),
 }
 
-/// The index of prefixes over all upstreams, which it numbers as [`super::Route`] does.
+/// Index of prefixes over all upstreams, which have the same indices as in [`super::Router`].
 #[derive(Debug, Default)]
 pub struct Index {
     holders: HashMap<u64, Vec<u32>>,
-    order: VecDeque<u64>,
-    streams: HashMap<u32, (Incarnation, u64)>,
+    insertion_order: VecDeque<u64>,
+    last_events: HashMap<u32, (Incarnation, u64)>,
     stale: HashSet<u32>,
 }
 
 impl Index {
-    /// Takes an event. One that is late is dropped, as what followed it has been taken already.
-    pub fn take(&mut self, upstream: u32, event: &Event) {
+    /// Applies an event. Late and repeated events are ignored.
+    pub fn apply(&mut self, upstream: u32, event: &CacheEvent) {
         let next = (event.incarnation, event.sequence);
-        match self.streams.get(&upstream).copied() {
+        match self.last_events.get(&upstream).copied() {
             Some(last) if next <= last => return,
-            Some((incarnation, _)) if event.incarnation > incarnation => self.forget(upstream),
+            Some((incarnation, _)) if event.incarnation > incarnation => {
+                self.remove_upstream(upstream)
+            }
             Some((_, last)) if event.sequence > last + 1 => {
                 self.stale.insert(upstream);
             }
             _ => {}
         }
-        self.streams.insert(upstream, next);
+        self.last_events.insert(upstream, next);
         match &event.change {
-            Change::Stored(prefixes) => self.store(upstream, prefixes),
-            Change::Removed(prefixes) => prefixes.iter().for_each(|&p| self.remove(upstream, p)),
-            Change::Reset(prefixes) => {
+            CacheChange::Stored(prefixes) => self.store(upstream, prefixes),
+            CacheChange::Removed(prefixes) => {
+                prefixes.iter().for_each(|&p| self.remove(upstream, p))
+            }
+            CacheChange::Reset(prefixes) => {
                 self.clear(upstream);
                 self.stale.remove(&upstream);
                 self.store(upstream, prefixes);
@@ -75,11 +79,11 @@
         }
     }
 
-    /// Drops all that is known of an upstream.
-    pub fn forget(&mut self, upstream: u32) {
+    /// Removes all entries of an upstream.
+    pub fn remove_upstream(&mut self, upstream: u32) {
         self.clear(upstream);
         self.stale.remove(&upstream);
-        self.streams.remove(&upstream);
+        self.last_events.remove(&upstream);
     }
 
     /// Whether events of the upstream were lost since its last reset.
@@ -87,10 +91,11 @@
         self.stale.contains(&upstream)
     }
 
-    /// The holders of the longest known of these prefixes (the shortest comes first): the fresh ones among
-    /// them, or the stale where no other is known.
+    /// The holders of the longest indexed prefix; `prefixes` is sorted shortest first. Stale
+    /// holders are returned only if there are no others.
     pub fn holders(&self, prefixes: &[u64]) -> Vec<u32> {
-        let longest = prefixes.iter().take(DEPTH).rev().find_map(|prefix| self.holders.get(prefix));
+        let longest =
+            prefixes.iter().take(MAX_DEPTH).rev().find_map(|prefix| self.holders.get(prefix));
         let Some(known) = longest else { return Vec::new() };
         let fresh: Vec<u32> = known.iter().copied().filter(|&u| !self.is_stale(u)).collect();
         if fresh.is_empty() { known.clone() } else { fresh }
@@ -99,15 +104,15 @@
     fn store(&mut self, upstream: u32, prefixes: &[u64]) {
         for &prefix in prefixes {
             let holders = self.holders.entry(prefix).or_insert_with(|| {
-                self.order.push_back(prefix);
+                self.insertion_order.push_back(prefix);
                 Vec::with_capacity(1)
             });
-            if !holders.contains(&upstream) && holders.len() < HOLDERS {
+            if !holders.contains(&upstream) && holders.len() < MAX_HOLDERS {
                 holders.push(upstream);
             }
         }
-        while self.order.len() > PREFIXES {
-            let oldest = self.order.pop_front();
+        while self.insertion_order.len() > MAX_PREFIXES {
+            let oldest = self.insertion_order.pop_front();
             oldest.and_then(|prefix| self.holders.remove(&prefix));
         }
     }
@@ -122,6 +127,6 @@
             holders.retain(|&holder| holder != upstream);
         }
         self.holders.retain(|_, holders| !holders.is_empty());
-        self.order.retain(|prefix| self.holders.contains_key(prefix));
+        self.insertion_order.retain(|prefix| self.holders.contains_key(prefix));
     }
 }
--- a/src/decide/route/rendezvous.rs
+++ b/src/decide/route/rendezvous.rs
@@ -1,13 +1,14 @@
-//! Rendezvous hashing: all VMs make the same choice without talking, and few choices move when one comes or goes.
+//! Rendezvous (highest random weight) hashing: VMs agree on a choice without coordination, and few
+//! choices change when a member joins or leaves.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The weight of a member for a key; the members with the highest weights are the key's.
+/// The weight of a member for a key; the members with the highest weights are chosen.
 pub fn weight(key: u64, member: &str) -> u64 {
     xxh3_64_with_seed(member.as_bytes(), key)
 }
 
-/// The `count` members with the highest weights for the key, the highest first.
+/// The `count` members with the highest weights for the key, highest first.
 pub fn top<'a, T: Copy>(
     key: u64,
     members: impl Iterator<Item = (T, &'a str)>,
--- a/src/decide/route/tests.rs
+++ b/src/decide/route/tests.rs
@@ -1,3 +1,3 @@
 mod choice;
-mod names;
+mod fixtures;
 mod prefix;
--- a/src/decide/route/tests/prefix.rs
+++ b/src/decide/route/tests/prefix.rs
@@ -1,26 +1,25 @@
 use yare::parameterized;
 
-use crate::decide::route::prefix::Change;
-use crate::decide::route::prefix::Event;
+use crate::decide::route::prefix::CacheChange;
+use crate::decide::route::prefix::CacheEvent;
 use crate::decide::route::prefix::Index;
 use crate::unit::Incarnation;
 
-fn event(incarnation: u64, sequence: u64, change: Change) -> Event {
-    Event { incarnation: Incarnation::new(incarnation), sequence, change }
+fn event(incarnation: u64, sequence: u64, change: CacheChange) -> CacheEvent {
+    CacheEvent { incarnation: Incarnation::new(incarnation), sequence, change }
 }
 
-// An event is lost. What the engine holds is then a guess: still used, but after engines known for sure, and
-// until the engine tells all anew.
+// Guards against trusting an index with lost events over a current one, and against discarding it.
 #[test]
 fn a_gap_makes_stale_and_blocks_nothing() {
     let mut index = Index::default();
-    index.take(0, &event(1, 1, Change::Stored(vec![10])));
-    index.take(0, &event(1, 3, Change::Stored(vec![11])));
+    index.apply(0, &event(1, 1, CacheChange::Stored(vec![10])));
+    index.apply(0, &event(1, 3, CacheChange::Stored(vec![11])));
     assert!(index.is_stale(0));
     assert_eq!(index.holders(&[10]), [0]);
-    index.take(1, &event(1, 1, Change::Stored(vec![10])));
+    index.apply(1, &event(1, 1, CacheChange::Stored(vec![10])));
     assert_eq!(index.holders(&[10]), [1]);
-    index.take(0, &event(1, 4, Change::Reset(vec![10])));
+    index.apply(0, &event(1, 4, CacheChange::Reset(vec![10])));
     let mut holders = index.holders(&[10]);
     holders.sort_unstable();
     assert_eq!(holders, [0, 1]);
@@ -35,17 +34,17 @@
 fn old_events_change_nothing(incarnation: u64, sequence: u64) {
     let mut index = Index::default();
     for sequence in 1..=3 {
-        index.take(0, &event(1, sequence, Change::Stored(vec![sequence])));
+        index.apply(0, &event(1, sequence, CacheChange::Stored(vec![sequence])));
     }
-    index.take(0, &event(incarnation, sequence, Change::Removed(vec![2])));
+    index.apply(0, &event(incarnation, sequence, CacheChange::Removed(vec![2])));
     assert_eq!(index.holders(&[2]), [0]);
 }
 
 #[test]
 fn a_new_start_holds_nothing() {
     let mut index = Index::default();
-    index.take(0, &event(1, 1, Change::Stored(vec![1])));
-    index.take(0, &event(2, 1, Change::Stored(vec![2])));
+    index.apply(0, &event(1, 1, CacheChange::Stored(vec![1])));
+    index.apply(0, &event(2, 1, CacheChange::Stored(vec![2])));
     assert!(index.holders(&[1]).is_empty());
     assert_eq!(index.holders(&[1, 2]), [0]);
 }
@@ -53,7 +52,7 @@
 #[test]
 fn the_longest_prefix_decides() {
     let mut index = Index::default();
-    index.take(0, &event(1, 1, Change::Stored(vec![1])));
-    index.take(1, &event(1, 1, Change::Stored(vec![1, 2])));
+    index.apply(0, &event(1, 1, CacheChange::Stored(vec![1])));
+    index.apply(1, &event(1, 1, CacheChange::Stored(vec![1, 2])));
     assert_eq!(index.holders(&[1, 2, 3]), [1]);
 }
--- a/src/entry/dispatch.rs
+++ b/src/entry/dispatch.rs
@@ -26,7 +26,7 @@
 use crate::decide::retry::Retry;
 use crate::decide::retry::Verdict;
 use crate::decide::route::Outcome;
-use crate::decide::route::Route;
+use crate::decide::route::Router;
 use crate::decide::spill::Spill;
 use crate::entry::Job;
 use crate::entry::fleet::Hosted;
@@ -83,7 +83,7 @@
     slots: slots::Pool,
     members: u64,
     spill: Spill,
-    route: Route,
+    route: Router,
     admission: Admission,
     retry: Retry,
     hedge: Hedge,
@@ -102,7 +102,7 @@
             slots: slots::Pool::new(me.clone(), incarnation).with_spare(SPARE),
             members: 1,
             spill: Spill::new(region.clone(), 1),
-            route: Route::new(me),
+            route: Router::new(me),
             admission: Admission::new(SmallRng::from_rng(&mut rng)),
             retry: Retry::new(),
             hedge: Hedge::new(),
@@ -234,7 +234,7 @@
         if !self.hedge.begin(&job.model, now) {
             return None;
         }
-        self.route.sent(&chosen, now);
+        self.route.start_attempt(&chosen, now);
         pool.capacity.started(job.entry.class);
         Some(Grant { upstream, since: now })
     }
@@ -244,7 +244,7 @@
         let class = job.entry.class;
         let took = now.saturating_duration_since(grant.since);
         self.quarantine.stopped(&job.suspicion, &grant.upstream.id);
-        self.route.finished(&grant.upstream.id, &job.facts(&[]), outcome, took, now);
+        self.route.finish_attempt(&grant.upstream.id, &job.facts(&[]), outcome, took, now);
         if outcome == Outcome::Answered {
             self.admission.observe(&job.entry.name, class, took);
             self.retry.answered(&job.model, now);
@@ -259,7 +259,7 @@
     /// An upstream is there, or announces something else.
     pub fn appeared(&mut self, hosted: Hosted, now: Instant) {
         let announcement = &hosted.announcement;
-        self.route.announced(announcement, now);
+        self.route.update_announcement(announcement, now);
         if hosted.host != self.me {
             self.slots.follows(&announcement.id, &hosted.host, now);
         }
@@ -283,12 +283,12 @@
 
     /// A load report has come.
     pub fn load(&mut self, load: &Load, now: Instant) {
-        self.route.reported(load, now);
+        self.route.update_load(load, now);
     }
 
     /// An upstream takes no new work.
     pub fn gone(&mut self, id: &id::Upstream, now: Instant) {
-        self.route.removed(id);
+        self.route.remove(id);
         self.slots.removed(id);
         self.upstreams.remove(id);
         self.share(now);
@@ -328,7 +328,7 @@
     /// The same as [`Self::share`] for one upstream. A VM of a large region hears about slots a thousand times a second,
     /// and going through all upstreams each time took 5% of a core; the sums follow with the next tick.
     fn share_one(&mut self, id: &id::Upstream, now: Instant) {
-        self.route.leased(id, self.slots.allowed(id, now));
+        self.route.set_leased_slots(id, self.slots.allowed(id, now));
         let Some(hosted) = self.upstreams.get(id) else { return };
         let models: Vec<id::Model> = hosted.announcement.models.iter().cloned().collect();
         for model in models {
@@ -344,7 +344,7 @@
     /// Tells the choice of upstreams how many slots this VM may use now.
     fn share(&mut self, now: Instant) {
         for (id, slots) in self.slots.shares(now) {
-            self.route.leased(id, slots);
+            self.route.set_leased_slots(id, slots);
         }
         self.quarantine.set_upstreams(self.upstreams.len());
         self.resize(now);
@@ -404,12 +404,12 @@
             };
             let chosen = chosen.clone();
             let grant = Grant { upstream: hosted.announcement.clone(), since: now };
-            self.route.sent(&chosen, now);
+            self.route.start_attempt(&chosen, now);
             self.quarantine.started(waiting.job.suspicion, &chosen, now);
             pool.capacity.started(ticket.class);
             if waiting.answer.send(Ok(grant)).is_err() {
                 let facts = waiting.job.facts(&[]);
-                self.route.finished(&chosen, &facts, Outcome::Cancelled, Duration::ZERO, now);
+                self.route.finish_attempt(&chosen, &facts, Outcome::Cancelled, Duration::ZERO, now);
                 pool.capacity.finished(ticket.class);
                 self.quarantine.stopped(&waiting.job.suspicion, &chosen);
             }
--- a/src/entry/job.rs
+++ b/src/entry/job.rs
@@ -14,7 +14,7 @@
 use crate::catalogue;
 use crate::catalogue::Kind;
 use crate::decide::quarantine;
-use crate::decide::route::Facts;
+use crate::decide::route::Criteria;
 use crate::http::Reason;
 use crate::http::Refusal;
 use crate::id;
@@ -169,15 +169,15 @@
 
 impl Job {
     /// What the choice of an upstream rests on.
-    pub fn facts<'a>(&'a self, avoid: &'a [id::Upstream]) -> Facts<'a> {
+    pub fn facts<'a>(&'a self, avoid: &'a [id::Upstream]) -> Criteria<'a> {
         let kind = match self.entry.kind {
             Kind::Engine { .. } => upstream::Kind::Engine,
             Kind::Service { .. } => upstream::Kind::Service,
         };
-        Facts::new(&self.model, self.entry.class)
+        Criteria::new(&self.model, self.entry.class)
             .with_kind(kind)
             .with_prefix(&self.prefix)
-            .with_avoid(avoid)
+            .with_excluded(avoid)
     }
 
     /// The memory that the request holds while it waits.
--- a/tests/load/fleet.rs
+++ b/tests/load/fleet.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 use masticstream::catalogue::Class;
-use masticstream::decide::route::Change;
-use masticstream::decide::route::Event;
-use masticstream::decide::route::Facts;
+use masticstream::decide::route::CacheChange;
+use masticstream::decide::route::CacheEvent;
+use masticstream::decide::route::Criteria;
 use masticstream::decide::route::Outcome;
-use masticstream::decide::route::Route;
+use masticstream::decide::route::Router;
 use masticstream::unit::Incarnation;
 use masticstream::unit::Slots;
 use masticstream::upstream::Load;
@@ -50,7 +50,7 @@
     Done { engine: usize, job: Job },
     Measure,
     Report { engine: usize, load: Load },
-    Cached { engine: usize, event: Event },
+    Cached { engine: usize, event: CacheEvent },
     Tick,
     Slots { from: usize, to: usize, message: Message },
 }
@@ -81,7 +81,7 @@
     now: f64,
     agenda: Agenda<Step>,
     engines: Vec<Engine>,
-    routes: Vec<Route>,
+    routes: Vec<Router>,
     pools: Vec<Pool>,
     held: Vec<VecDeque<Job>>,
     turn: Vec<usize>,
@@ -104,11 +104,11 @@
         let start = agenda.now();
         let mut routes = Vec::new();
         for vm in 0..setting.vms {
-            let mut route = Route::new(&format!("vm-{vm}").parse().unwrap());
+            let mut route = Router::new(&format!("vm-{vm}").parse().unwrap());
             // They have stood for long: slow start is over.
             let before = start - Duration::from_secs(60);
             (usize::from(setting.warm_after.is_some())..setting.engines)
-                .for_each(|e| route.announced(&announcement(e, setting.slots), before));
+                .for_each(|e| route.update_announcement(&announcement(e, setting.slots), before));
             routes.push(route);
         }
         let engines = (0..setting.engines).map(|_| Engine {
@@ -169,7 +169,7 @@
                 Step::Slots { from, to, message } => self.slots(from, to, &message),
                 Step::Cached { engine, event } => {
                     let id = self::engine(engine);
-                    self.routes.iter_mut().for_each(|route| route.cached(&id, &event));
+                    self.routes.iter_mut().for_each(|route| route.update_cache(&id, &event));
                 }
             }
         }
@@ -192,7 +192,9 @@
     fn join(&mut self) {
         let before = Duration::from_secs(if self.setting.known_new { 0 } else { 60 });
         let (now, slots) = (self.instant() - before, self.setting.slots);
-        self.routes.iter_mut().for_each(|route| route.announced(&announcement(0, slots), now));
+        self.routes
+            .iter_mut()
+            .for_each(|route| route.update_announcement(&announcement(0, slots), now));
     }
 
     fn try_send(&mut self, mut job: Job) {
@@ -202,7 +204,7 @@
         };
         job.begun = self.now;
         let now = self.instant();
-        self.routes[job.vm].sent(&self::engine(engine), now);
+        self.routes[job.vm].start_attempt(&self::engine(engine), now);
         if self.engines[engine].running < self.setting.slots as u32 {
             self.begin(engine, job);
         } else {
@@ -219,9 +221,9 @@
                 let (model, prefix) = (model(), job.prefix.as_slice().to_vec());
                 let waited = Duration::from_secs_f64(self.now - job.arrived);
                 let patience = PATIENCE.saturating_sub(waited);
-                let facts = Facts::new(&model, Class::Short).with_prefix(&prefix);
+                let facts = Criteria::new(&model, Class::Short).with_prefix(&prefix);
                 let facts = match self.policy {
-                    Policy::Shared => facts.with_patience(patience),
+                    Policy::Shared => facts.with_affinity_wait(patience),
                     _ => facts,
                 };
                 let now = self.instant();
@@ -259,8 +261,8 @@
                 removed.extend(engine.cache.pop_front());
             }
             if cached.is_none() {
-                self.tell(number, Change::Stored(vec![prefix]));
-                self.tell(number, Change::Removed(removed));
+                self.tell(number, CacheChange::Stored(vec![prefix]));
+                self.tell(number, CacheChange::Removed(removed));
             }
         }
         if first && self.setting.warm_after.is_none_or(|warm| self.now < JOINS + warm) {
@@ -273,11 +275,11 @@
     }
 
     /// Cache events come half a second late, and one in twenty is lost.
-    fn tell(&mut self, engine: usize, change: Change) {
+    fn tell(&mut self, engine: usize, change: CacheChange) {
         self.engines[engine].events += 1;
         let sequence = self.engines[engine].events;
         if self.choices.random_bool(0.95) {
-            let event = Event { incarnation: Incarnation::new(1), sequence, change };
+            let event = CacheEvent { incarnation: Incarnation::new(1), sequence, change };
             self.at(self.now + 0.5, Step::Cached { engine, event });
         }
     }
@@ -291,8 +293,8 @@
         let outcome = if failed { Outcome::Failed } else { Outcome::Answered };
         let (now, latency) = (self.instant(), Duration::from_secs_f64(self.now - job.begun));
         let model = model();
-        let facts = Facts::new(&model, Class::Short);
-        self.routes[job.vm].finished(&engine(number), &facts, outcome, latency, now);
+        let facts = Criteria::new(&model, Class::Short);
+        self.routes[job.vm].finish_attempt(&engine(number), &facts, outcome, latency, now);
         if failed {
             self.failed += 1;
         } else {
@@ -341,7 +343,7 @@
     fn share(&mut self, vm: usize) {
         let now = self.instant();
         for (upstream, slots) in self.pools[vm].shares(now) {
-            self.routes[vm].leased(upstream, slots);
+            self.routes[vm].set_leased_slots(upstream, slots);
         }
         self.send_held(vm);
     }
@@ -367,7 +369,7 @@
 
     fn report(&mut self, engine: usize, load: &Load) {
         let now = self.instant();
-        self.routes.iter_mut().for_each(|route| route.reported(load, now));
+        self.routes.iter_mut().for_each(|route| route.update_load(load, now));
         self.reported.iter_mut().for_each(|loads| loads[engine] = load.total());
     }
 
