--- a/benches/decide/route.rs
+++ b/benches/decide/route.rs
@@ -24,9 +24,9 @@
 use masticstream::decide::route::Router;
 use masticstream::decide::spill;
 use masticstream::decide::spill::Digest;
-use masticstream::decide::spill::Journey;
+use masticstream::decide::spill::ForwardState;
+use masticstream::decide::spill::RegionSelector;
 use masticstream::decide::spill::Room;
-use masticstream::decide::spill::Spill;
 use masticstream::id;
 use masticstream::unit::Incarnation;
 use masticstream::unit::Rate;
@@ -155,25 +155,25 @@
 
 fn spilling(c: &mut Criterion) {
     let (now, model, mut rng) = (Instant::now(), model(), SmallRng::seed_from_u64(1));
-    let mut spill = Spill::new("gulf".parse().expect("a name"), 117);
+    let mut spill = RegionSelector::new("gulf".parse().expect("a name"), 117);
     for region in ["piedmont", "delta"] {
         let room =
             Room { capacity: Slots::new(2_000), free: Slots::new(500), wait: Duration::ZERO };
         let room = [(model.clone(), room)].into();
         let region = region.parse().expect("a name");
-        spill.digest(Digest { region, sequence: 1, room, age: Duration::ZERO }, now);
+        spill.update_digest(Digest { region, sequence: 1, room, age: Duration::ZERO }, now);
     }
     let home = Home::Preferred("gulf".parse().expect("a name"));
-    let facts = spill::Facts {
+    let facts = spill::Criteria {
         home: &home,
         prefers: Preference::Latency,
         model: &model,
         wait: Some(Duration::from_secs(30)),
-        service: Duration::from_secs(2),
-        cold: Duration::from_secs(1),
-        left: Duration::from_secs(60),
-        prefix: 1,
-        journey: Journey::Fresh,
+        service_time: Duration::from_secs(2),
+        cold_penalty: Duration::from_secs(1),
+        remaining: Duration::from_secs(60),
+        prefix_hash: 1,
+        forward_state: ForwardState::Original,
     };
     c.bench_function("spill: decide", |b| {
         b.iter(|| black_box(spill.decide(&facts, now, &mut rng)));
--- a/src/decide/spill.rs
+++ b/src/decide/spill.rs
@@ -1,20 +1,24 @@
-//! Spill: whether a request leaves for another region.
+//! Decides whether a request is forwarded to another region.
 //!
-//! Load patterns answered, and what happens without:
-//! - *A region short of capacity.* Alerts wait in its queue until they are worthless, while other regions have free
-//!   slots. Requests that prefer latency leave once another region would answer sooner, with the trip and its cold
-//!   cache counted; those that prefer home leave only where they would miss their deadline otherwise.
-//! - *Many VMs with one late digest.* All see the same free slots and send all at once; the other region is overrun,
-//!   its next digest says so, all stop, and so on. Each VM has no more there than when the digest was made, and its
-//!   part of the slots that were free then.
-//! - *Return after an outage.* All prefixes of a region at once, each cold, would make its first minute late. They
-//!   return one share after the other, by the prefix's hash, so that each is computed once and stays.
-//! - *Circles.* A request is handed over once at most, by the VM that its caller asked. Refused there it stays.
-//! - *Bound data* never leaves: whatever the load, such a request is run at home, or its caller is sent there.
-
+//! Load patterns handled, and what happens without this module:
+//! - *A region short of capacity.* Its queue delays urgent requests while other regions have free
+//!   slots. Requests that prefer latency are forwarded once another region would answer sooner,
+//!   including the trip and a cold cache there; those that prefer home are forwarded only if they
+//!   would miss their deadline at home.
+//! - *Many VMs with the same old digest.* If all of them send to the same free slots, the target is
+//!   overloaded, reports that, and traffic swings back. Each VM forwards at most its share of the
+//!   slots that were free when the digest was made.
+//! - *Recovery after an outage.* A cold region that gets all of its prefixes at once is slow for
+//!   the first minute. Traffic returns gradually by prefix hash, so that each prefix is computed
+//!   once.
+//! - *Forwarding loops.* Only the VM that received a request from its caller may forward it, and
+//!   only once. If the other region refuses, the request stays.
+//! - *Bound requests* are never forwarded: they run in their home region or their caller is
+//!   redirected there.
+
+mod criteria;
 mod digest;
-mod facts;
-mod known;
+mod remote;
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -23,154 +27,182 @@
 use rand::Rng;
 use tokio::time::Instant;
 
-use self::known::Known;
+use self::remote::RemoteRegion;
 use crate::catalogue::Home;
 use crate::catalogue::Preference;
 use crate::id;
 
+pub use criteria::Criteria;
+pub use criteria::Decision;
+pub use criteria::ForwardState;
 pub use digest::Digest;
 pub use digest::Room;
-pub use facts::Decision;
-pub use facts::Facts;
-pub use facts::Journey;
-pub use known::GONE;
-pub use known::RETURN;
+pub use remote::DIGEST_TTL;
+pub use remote::RECOVERY_TIME;
 
-/// How much sooner than home another region must answer, as a share of the service time. Service times vary by more
-/// than that, and a smaller gain isn't worth a cold cache there and the load on the link.
-const MARGIN: f64 = 0.25;
+/// Minimum gain in response time over home, as a share of the service time. A smaller gain isn't
+/// worth a cold cache and the load on the link.
+const MIN_GAIN: f64 = 0.25;
 
-/// The trip assumed before one was measured; long-distance trips within a continent take 20 to 80 ms one way.
-const ASSUMED_TRIP: Duration = Duration::from_millis(50);
+/// One-way trip time to a region before it is measured.
+const DEFAULT_TRIP_TIME: Duration = Duration::from_millis(50);
 
-/// Chooses regions.
+/// Selects the region that runs a request.
 #[derive(Debug)]
-pub struct Spill {
-    here: id::Region,
-    vms: u32,
-    known: BTreeMap<id::Region, Known>,
-    returning: HashMap<id::Model, known::Return>,
+pub struct RegionSelector {
+    local_region: id::Region,
+    vm_count: u32,
+    regions: BTreeMap<id::Region, RemoteRegion>,
+    recoveries: HashMap<id::Model, remote::Recovery>,
 }
 
-impl Spill {
-    /// The choice of a VM in that region, where so many VMs are.
-    pub fn new(here: id::Region, vms: u32) -> Self {
-        Self { here, vms: vms.max(1), known: BTreeMap::new(), returning: HashMap::new() }
+impl RegionSelector {
+    /// Creates a selector for one of `vms` VMs in the region `local_region`.
+    pub fn new(local_region: id::Region, vms: u32) -> Self {
+        Self {
+            local_region,
+            vm_count: vms.max(1),
+            regions: BTreeMap::new(),
+            recoveries: HashMap::new(),
+        }
     }
 
-    /// So many VMs are in this region now.
-    pub fn vms(&mut self, vms: u32) {
-        self.vms = vms.max(1);
+    /// Sets the number of VMs in this region.
+    pub fn set_vm_count(&mut self, vms: u32) {
+        self.vm_count = vms.max(1);
     }
 
-    /// A region's digest has come.
-    pub fn digest(&mut self, digest: Digest, now: Instant) {
-        if digest.region == self.here {
+    /// Applies the digest of a region.
+    pub fn update_digest(&mut self, digest: Digest, now: Instant) {
+        if digest.region == self.local_region {
             return;
         }
-        let known = self.known.entry(digest.region.clone()).or_insert_with(|| Known::new(now));
-        known.digest(digest, now);
+        let region_state =
+            self.regions.entry(digest.region.clone()).or_insert_with(|| RemoteRegion::new(now));
+        region_state.update_digest(digest, now);
     }
 
-    /// The time of one trip to a region, as its links measure it.
-    pub fn trip(&mut self, region: &id::Region, trip: Duration, now: Instant) {
-        self.known.entry(region.clone()).or_insert_with(|| Known::new(now)).trip = Some(trip);
+    /// Sets the measured one-way trip time to a region.
+    pub fn set_trip_time(&mut self, region: &id::Region, trip: Duration, now: Instant) {
+        self.regions.entry(region.clone()).or_insert_with(|| RemoteRegion::new(now)).trip =
+            Some(trip);
     }
 
-    /// Whether this region has any upstream for the model; its traffic returns gradually after it had none.
-    pub fn here(&mut self, model: &id::Model, serves: bool, now: Instant) {
-        match self.returning.get_mut(model) {
-            Some(returning) => returning.seen(serves, now),
-            // A model that was never served here has nothing to return to, and any name may be asked for.
+    /// Updates whether this region has any upstream for the model. After an outage its traffic
+    /// returns gradually.
+    pub fn update_availability(&mut self, model: &id::Model, serves: bool, now: Instant) {
+        match self.recoveries.get_mut(model) {
+            Some(recovery) => recovery.update(serves, now),
+            // Callers may send any model name: only models that were served here are tracked.
             None if !serves => {}
             None => {
-                let mut returning = known::Return::new();
-                returning.seen(true, now);
-                self.returning.insert(model.clone(), returning);
+                let mut recovery = remote::Recovery::new();
+                recovery.update(true, now);
+                self.recoveries.insert(model.clone(), recovery);
             }
         }
     }
 
-    /// A region refused what was handed to it: it gets nothing more before its next digest.
-    pub fn refused(&mut self, region: &id::Region) {
-        if let Some(known) = self.known.get_mut(region) {
-            known.exhaust();
+    /// Records that a region refused a request. Nothing more is forwarded to it until its next
+    /// digest.
+    pub fn record_refusal(&mut self, region: &id::Region) {
+        if let Some(region_state) = self.regions.get_mut(region) {
+            region_state.mark_full();
         }
     }
 
-    /// A request that was handed over has ended, whether it was answered or refused there.
-    pub fn ended(&mut self, region: &id::Region, model: &id::Model, now: Instant) {
-        if let Some(known) = self.known.get_mut(region) {
-            known.ended(model, now);
+    /// Records that a forwarded request has ended, answered or not.
+    pub fn finish_forward(&mut self, region: &id::Region, model: &id::Model, now: Instant) {
+        if let Some(region_state) = self.regions.get_mut(region) {
+            region_state.finish_forward(model, now);
         }
     }
 
-    /// Where a request is to run. What is handed over is counted at once, until [`Self::ended`] is called.
-    pub fn decide(&mut self, facts: &Facts<'_>, now: Instant, rng: &mut impl Rng) -> Decision {
-        if let Home::Bound(home) = facts.home {
-            let at_home = *home == self.here;
-            return if at_home { Decision::Stay } else { Decision::Redirect(home.clone()) };
+    /// Decides where a request runs. A forwarded request is counted until [`Self::finish_forward`].
+    pub fn decide(
+        &mut self,
+        criteria: &Criteria<'_>,
+        now: Instant,
+        rng: &mut impl Rng,
+    ) -> Decision {
+        if let Home::Bound(home) = criteria.home {
+            let at_home = *home == self.local_region;
+            return if at_home { Decision::Local } else { Decision::Redirect(home.clone()) };
         }
-        if facts.journey != Journey::Fresh {
-            return Decision::Stay;
+        if criteria.forward_state != ForwardState::Original {
+            return Decision::Local;
         }
-        let home = facts.home.region().unwrap_or(&self.here).clone();
-        let home_cost = self.home_cost(&home, facts, now);
-        let away = self.away(&home, facts, now, rng);
-        let leaves = away.as_ref().is_some_and(|(_, cost)| leaves(facts, home_cost, *cost));
+        let home = criteria.home.region().unwrap_or(&self.local_region).clone();
+        let home_response_time = self.home_response_time(&home, criteria, now);
+        let away = self.best_alternative(&home, criteria, now, rng);
+        let forward = away.as_ref().is_some_and(|(_, response_time)| {
+            should_forward(criteria, home_response_time, *response_time)
+        });
         let region = match away {
-            Some((region, _)) if leaves => region,
+            Some((region, _)) if forward => region,
             _ => home.clone(),
         };
-        match self.known.get_mut(&region) {
-            Some(known) if region != self.here && known.is_fresh(now) => {
-                known.handed_over(facts.model, now);
-                Decision::HandOver(region)
+        match self.regions.get_mut(&region) {
+            Some(region_state) if region != self.local_region && region_state.is_fresh(now) => {
+                region_state.start_forward(criteria.model, now);
+                Decision::Forward(region)
             }
-            _ => Decision::Stay,
+            _ => Decision::Local,
         }
     }
 
-    /// The time until an answer from home; none where home can't run it, or should not yet.
-    fn home_cost(&self, home: &id::Region, facts: &Facts<'_>, now: Instant) -> Option<Duration> {
-        if *home == self.here {
-            let wait = facts.wait?;
-            let returning = self.returning.get(facts.model);
-            let back = returning.is_none_or(|returning| returning.includes(facts.prefix, now));
-            return back.then_some(wait + facts.service);
+    /// The response time at home, or `None` if home can't run the request or is still recovering.
+    fn home_response_time(
+        &self,
+        home: &id::Region,
+        criteria: &Criteria<'_>,
+        now: Instant,
+    ) -> Option<Duration> {
+        if *home == self.local_region {
+            let wait = criteria.wait?;
+            let recovery = self.recoveries.get(criteria.model);
+            let recovered =
+                recovery.is_none_or(|recovery| recovery.admits(criteria.prefix_hash, now));
+            return recovered.then_some(wait + criteria.service_time);
         }
-        let known = self.known.get(home)?;
-        known.cost(facts, ASSUMED_TRIP, now).filter(|_| known.returning.includes(facts.prefix, now))
+        let region_state = self.regions.get(home)?;
+        region_state
+            .response_time(criteria, DEFAULT_TRIP_TIME, now)
+            .filter(|_| region_state.recovery.admits(criteria.prefix_hash, now))
     }
 
-    /// The soonest of the other regions that have room for one more, this one included where it isn't home.
-    fn away(
+    /// The region other than home with the shortest response time and room for the request; this
+    /// region is included if it isn't home.
+    fn best_alternative(
         &mut self,
         home: &id::Region,
-        facts: &Facts<'_>,
+        criteria: &Criteria<'_>,
         now: Instant,
         rng: &mut impl Rng,
     ) -> Option<(id::Region, Duration)> {
-        let vms = self.vms;
-        let others = self.known.iter_mut().filter_map(|(region, known)| {
-            let cost = known.cost(facts, ASSUMED_TRIP, now)? + facts.cold;
-            let open = region != home
-                && known.returning.includes(facts.prefix, now)
-                && known.has_part(facts.model, vms, now, rng);
-            open.then(|| (region.clone(), cost))
+        let vms = self.vm_count;
+        let others = self.regions.iter_mut().filter_map(|(region, region_state)| {
+            let response_time = region_state.response_time(criteria, DEFAULT_TRIP_TIME, now)?
+                + criteria.cold_penalty;
+            let usable = region != home
+                && region_state.recovery.admits(criteria.prefix_hash, now)
+                && region_state.has_free_share(criteria.model, vms, now, rng);
+            usable.then(|| (region.clone(), response_time))
+        });
+        let local = criteria.wait.filter(|_| *home != self.local_region);
+        let local = local.map(|wait| {
+            (self.local_region.clone(), wait + criteria.cold_penalty + criteria.service_time)
         });
-        let here = facts.wait.filter(|_| *home != self.here);
-        let here = here.map(|wait| (self.here.clone(), wait + facts.cold + facts.service));
-        others.chain(here).min_by(|a, b| (a.1, &a.0).cmp(&(b.1, &b.0)))
+        others.chain(local).min_by(|a, b| (a.1, &a.0).cmp(&(b.1, &b.0)))
     }
 }
 
-/// Whether a request leaves home, where it would be answered after `home`, for a region that answers after `away`.
-fn leaves(facts: &Facts<'_>, home: Option<Duration>, away: Duration) -> bool {
-    let Some(home) = home else { return away <= facts.left };
-    match facts.prefers {
-        Preference::Latency => away + facts.service.mul_f64(MARGIN) < home,
-        Preference::Home => home > facts.left && away <= facts.left,
+/// Whether to forward a request whose response time is `home` at home and `away` elsewhere.
+fn should_forward(criteria: &Criteria<'_>, home: Option<Duration>, away: Duration) -> bool {
+    let Some(home) = home else { return away <= criteria.remaining };
+    match criteria.prefers {
+        Preference::Latency => away + criteria.service_time.mul_f64(MIN_GAIN) < home,
+        Preference::Home => home > criteria.remaining && away <= criteria.remaining,
     }
 }
 
--- a/src/decide/spill/criteria.rs
+++ b/src/decide/spill/criteria.rs
@@ -1,4 +1,4 @@
-//! What the choice of a region rests on, and the choice.
+//! Criteria for selecting a region, and the decision.
 
 use std::time::Duration;
 
@@ -6,47 +6,48 @@
 use crate::catalogue::Preference;
 use crate::id;
 
-/// What must be known of a request to choose its region.
+/// The properties of a request that determine its region.
 #[derive(Debug, Clone)]
-pub struct Facts<'a> {
-    /// Where it belongs.
+pub struct Criteria<'a> {
+    /// The home region.
     pub home: &'a Home,
-    /// What matters more when home is full.
+    /// What to prefer when home is full.
     pub prefers: Preference,
-    /// The model or service that it needs.
+    /// The model or service name.
     pub model: &'a id::Model,
-    /// The predicted wait in this region; none where no upstream here could run it.
+    /// The predicted queueing delay in this region; `None` if no upstream here could run the
+    /// request.
     pub wait: Option<Duration>,
-    /// The time that it is expected to run.
-    pub service: Duration,
-    /// How much longer it runs where its prompt's prefix isn't cached.
-    pub cold: Duration,
-    /// The time left until its deadline.
-    pub left: Duration,
-    /// A hash of its prompt's prefix, or of the request where there is none.
-    pub prefix: u64,
-    /// Where it has been already.
-    pub journey: Journey,
+    /// The expected service time.
+    pub service_time: Duration,
+    /// Additional service time without a cached prefix.
+    pub cold_penalty: Duration,
+    /// The time until the deadline.
+    pub remaining: Duration,
+    /// A hash of the prompt's prefix, or of the request if it has none.
+    pub prefix_hash: u64,
+    /// Whether the request was forwarded before.
+    pub forward_state: ForwardState,
 }
 
-/// Where a request has been already.
+/// Whether a request was forwarded before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Journey {
-    /// It came from its caller, or through a foreign proxy.
-    Fresh,
-    /// A VM of another region handed it over: it is run here or refused, and never handed on.
-    HandedOver,
-    /// It was handed to another region and refused there: it stays.
-    Refused,
+pub enum ForwardState {
+    /// Received from its caller, directly or through a proxy.
+    Original,
+    /// Forwarded by a VM of another region; it must not be forwarded again.
+    Forwarded,
+    /// Forwarded and refused by the other region; it stays.
+    Rejected,
 }
 
-/// Where a request is to run.
+/// Where a request runs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
-    /// In this region: it is queued or refused by admission.
-    Stay,
-    /// It is handed to a VM of that region.
-    HandOver(id::Region),
-    /// It is bound to that region and may not pass through here: its caller is told to go there.
+    /// In this region, subject to admission.
+    Local,
+    /// Forwarded to a VM of that region.
+    Forward(id::Region),
+    /// Bound to that region and must not pass through this one: the caller is redirected.
     Redirect(id::Region),
 }
--- a/src/decide/spill/digest.rs
+++ b/src/decide/spill/digest.rs
@@ -1,4 +1,4 @@
-//! What regions tell each other of their load.
+//! Load digests exchanged between regions.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,30 +11,30 @@
 use crate::id;
 use crate::unit::Slots;
 
-/// A region's load, model by model; nothing of any request or prompt is in it, so it may leave the region.
+/// The load of a region by model. It holds no request data, so it may leave the region.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// The region.
+    /// The region described.
     pub region: id::Region,
-    /// The number of the digest; a lower one than the last is out of date.
+    /// Sequence number; digests older than the last one are dropped.
     pub sequence: u64,
-    /// The room for each model or service.
+    /// Capacity and load by model or service.
     pub room: BTreeMap<id::Model, Room>,
-    /// How long ago it was made; whoever passes it on adds the time that it held it.
+    /// The digest's age; forwarders add the time for which they held it.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub age: Duration,
 }
 
-/// The room that a region has for one model or service.
+/// The capacity and load of a region for one model or service.
 #[serde_as]
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Room {
-    /// The slots of all upstreams that hold it.
+    /// Slots of all its upstreams.
     pub capacity: Slots,
-    /// The slots that are free.
+    /// Free slots.
     pub free: Slots,
-    /// The wait of a request that arrives now.
+    /// The queueing delay of a new request.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub wait: Duration,
 }
--- a/src/decide/spill/tests/choice.rs
+++ b/src/decide/spill/tests/choice.rs
@@ -7,13 +7,13 @@
 
 use crate::catalogue::Home;
 use crate::catalogue::Preference;
+use crate::decide::spill::Criteria;
+use crate::decide::spill::DIGEST_TTL;
 use crate::decide::spill::Decision;
 use crate::decide::spill::Digest;
-use crate::decide::spill::Facts;
-use crate::decide::spill::GONE;
-use crate::decide::spill::Journey;
+use crate::decide::spill::ForwardState;
+use crate::decide::spill::RegionSelector;
 use crate::decide::spill::Room;
-use crate::decide::spill::Spill;
 use crate::id;
 use crate::unit::Slots;
 
@@ -32,38 +32,44 @@
     }
 }
 
-/// A VM in gulf, with piedmont free.
-fn spill(now: Instant) -> Spill {
-    let mut spill = Spill::new(region("gulf"), 2);
-    spill.digest(digest("piedmont", 40, 0), now);
-    spill
+/// A selector in gulf, with free slots in piedmont.
+fn selector(now: Instant) -> RegionSelector {
+    let mut selector = RegionSelector::new(region("gulf"), 2);
+    selector.update_digest(digest("piedmont", 40, 0), now);
+    selector
 }
 
-fn decide(spill: &mut Spill, home: &Home, prefers: Preference, wait: u64, left: u64) -> Decision {
-    decide_on(spill, home, prefers, Some(wait), left, Journey::Fresh)
+fn decide(
+    selector: &mut RegionSelector,
+    home: &Home,
+    prefers: Preference,
+    wait: u64,
+    remaining: u64,
+) -> Decision {
+    decide_on(selector, home, prefers, Some(wait), remaining, ForwardState::Original)
 }
 
 fn decide_on(
-    spill: &mut Spill,
+    selector: &mut RegionSelector,
     home: &Home,
     prefers: Preference,
     wait: Option<u64>,
-    left: u64,
-    journey: Journey,
+    remaining: u64,
+    forward_state: ForwardState,
 ) -> Decision {
     let model = "storm".parse().unwrap();
-    let facts = Facts {
+    let criteria = Criteria {
         home,
         prefers,
         model: &model,
         wait: wait.map(Duration::from_secs),
-        service: Duration::from_secs(2),
-        cold: Duration::from_secs(3),
-        left: Duration::from_secs(left),
-        prefix: 1,
-        journey,
+        service_time: Duration::from_secs(2),
+        cold_penalty: Duration::from_secs(3),
+        remaining: Duration::from_secs(remaining),
+        prefix_hash: 1,
+        forward_state,
     };
-    spill.decide(&facts, Instant::now(), &mut SmallRng::seed_from_u64(1))
+    selector.decide(&criteria, Instant::now(), &mut SmallRng::seed_from_u64(1))
 }
 
 #[parameterized(
@@ -74,60 +80,68 @@
     leaves_to_be_in_time = { Preference::Home, 59, 60, true },
     too_late_anywhere = { Preference::Home, 5, 4, false },
 )]
-fn preference(prefers: Preference, wait: u64, left: u64, leaves: bool) {
+fn preference(prefers: Preference, wait: u64, remaining: u64, leaves: bool) {
     let home = Home::Preferred(region("gulf"));
-    let decision = decide(&mut spill(Instant::now()), &home, prefers, wait, left);
-    let expected = if leaves { Decision::HandOver(region("piedmont")) } else { Decision::Stay };
+    let decision = decide(&mut selector(Instant::now()), &home, prefers, wait, remaining);
+    let expected = if leaves { Decision::Forward(region("piedmont")) } else { Decision::Local };
     assert_eq!(decision, expected);
 }
 
-// Whatever the load here, a request whose data is bound to a region isn't handed to another one.
+// Guards against forwarding bound requests under load.
 #[parameterized(
-    at_home = { "gulf", Decision::Stay },
+    at_home = { "gulf", Decision::Local },
     elsewhere = { "piedmont", Decision::Redirect("piedmont".parse().unwrap()) },
 )]
 fn bound_work_never_leaves(home: &str, expected: Decision) {
     let home = Home::Bound(region(home));
-    for (wait, left) in [(Some(0), 60), (Some(1_000), 60), (None, 60), (None, 0)] {
-        for journey in [Journey::Fresh, Journey::HandedOver, Journey::Refused] {
-            let mut spill = spill(Instant::now());
-            let decision = decide_on(&mut spill, &home, Preference::Latency, wait, left, journey);
+    for (wait, remaining) in [(Some(0), 60), (Some(1_000), 60), (None, 60), (None, 0)] {
+        for forward_state in
+            [ForwardState::Original, ForwardState::Forwarded, ForwardState::Rejected]
+        {
+            let mut selector = selector(Instant::now());
+            let decision = decide_on(
+                &mut selector,
+                &home,
+                Preference::Latency,
+                wait,
+                remaining,
+                forward_state,
+            );
             assert_eq!(decision, expected);
         }
     }
 }
 
-// All regions are full and each would hand the request to the next: the caller would hear nothing until the last
-// hop's timeout. It is handed over once, and comes back at most once.
+// Guards against forwarding loops when all regions are full.
 #[parameterized(
-    handed_over = { Journey::HandedOver },
-    refused = { Journey::Refused },
+    handed_over = { ForwardState::Forwarded },
+    refused = { ForwardState::Rejected },
 )]
-fn no_circles(journey: Journey) {
+fn no_circles(forward_state: ForwardState) {
     let home = Home::Preferred(region("gulf"));
-    let mut spill = spill(Instant::now());
-    let decision = decide_on(&mut spill, &home, Preference::Latency, Some(1_000), 60, journey);
-    assert_eq!(decision, Decision::Stay);
+    let mut selector = selector(Instant::now());
+    let decision =
+        decide_on(&mut selector, &home, Preference::Latency, Some(1_000), 60, forward_state);
+    assert_eq!(decision, Decision::Local);
 }
 
 #[test]
 fn a_region_that_refused_gets_nothing_before_its_next_digest() {
     let (now, home) = (Instant::now(), Home::Anywhere);
-    let mut spill = spill(now);
-    spill.refused(&region("piedmont"));
-    assert_eq!(decide(&mut spill, &home, Preference::Latency, 30, 60), Decision::Stay);
-    spill.digest(Digest { sequence: 2, ..digest("piedmont", 40, 0) }, now);
-    assert_ne!(decide(&mut spill, &home, Preference::Latency, 30, 60), Decision::Stay);
+    let mut selector = selector(now);
+    selector.record_refusal(&region("piedmont"));
+    assert_eq!(decide(&mut selector, &home, Preference::Latency, 30, 60), Decision::Local);
+    selector.update_digest(Digest { sequence: 2, ..digest("piedmont", 40, 0) }, now);
+    assert_ne!(decide(&mut selector, &home, Preference::Latency, 30, 60), Decision::Local);
 }
 
-// The request belongs to piedmont but came here. Its caller is served from home while that answers, and from here
-// once the link to it is cut.
+// Guards against refusing a request whose home region is unreachable.
 #[test]
 fn home_is_elsewhere_and_then_out_of_reach() {
     let home = Home::Preferred(region("piedmont"));
     let now = Instant::now();
-    let decision = decide(&mut spill(now), &home, Preference::Home, 0, 60);
-    assert_eq!(decision, Decision::HandOver(region("piedmont")));
-    let long_ago = now - GONE;
-    assert_eq!(decide(&mut spill(long_ago), &home, Preference::Home, 0, 60), Decision::Stay);
+    let decision = decide(&mut selector(now), &home, Preference::Home, 0, 60);
+    assert_eq!(decision, Decision::Forward(region("piedmont")));
+    let long_ago = now - DIGEST_TTL;
+    assert_eq!(decide(&mut selector(long_ago), &home, Preference::Home, 0, 60), Decision::Local);
 }
--- a/src/entry/dispatch.rs
+++ b/src/entry/dispatch.rs
@@ -27,7 +27,7 @@
 use crate::decide::retry::Verdict;
 use crate::decide::route::Outcome;
 use crate::decide::route::Router;
-use crate::decide::spill::Spill;
+use crate::decide::spill::RegionSelector;
 use crate::entry::Job;
 use crate::entry::fleet::Hosted;
 use crate::http::Reason;
@@ -82,7 +82,7 @@
     quarantine: Quarantine,
     slots: slots::Pool,
     members: u64,
-    spill: Spill,
+    spill: RegionSelector,
     route: Router,
     admission: Admission,
     retry: Retry,
@@ -101,7 +101,7 @@
             quarantine: Quarantine::new(0),
             slots: slots::Pool::new(me.clone(), incarnation).with_spare(SPARE),
             members: 1,
-            spill: Spill::new(region.clone(), 1),
+            spill: RegionSelector::new(region.clone(), 1),
             route: Router::new(me),
             admission: Admission::new(SmallRng::from_rng(&mut rng)),
             retry: Retry::new(),
@@ -296,7 +296,7 @@
 
     /// The VMs of the region that are alive.
     pub fn members(&mut self, members: Vec<id::Vm>) {
-        self.spill.vms(u32::try_from(members.len()).unwrap_or(u32::MAX));
+        self.spill.set_vm_count(u32::try_from(members.len()).unwrap_or(u32::MAX));
         self.members = members.len().max(1) as u64;
         self.slots.members(members);
     }
--- a/src/entry/dispatch/regions.rs
+++ b/src/entry/dispatch/regions.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use crate::decide::spill;
-use crate::decide::spill::Journey;
+use crate::decide::spill::ForwardState;
 use crate::entry::Dispatch;
 use crate::entry::Job;
 use crate::id;
@@ -17,12 +17,12 @@
 impl Dispatch {
     /// How long a trip to another region takes.
     pub fn trip(&mut self, region: &id::Region, trip: Duration, now: Instant) {
-        self.spill.trip(region, trip, now);
+        self.spill.set_trip_time(region, trip, now);
     }
 
     /// Another region told how it stands.
     pub fn digest(&mut self, digest: spill::Digest, now: Instant) {
-        self.spill.digest(digest, now);
+        self.spill.update_digest(digest, now);
     }
 
     /// The load of this VM, model by model, for the digest of the region.
@@ -37,22 +37,27 @@
     }
 
     /// The region that a request is to run in. What is handed over is followed by [`Self::returned`].
-    pub fn region_for(&mut self, job: &Job, journey: Journey, now: Instant) -> spill::Decision {
+    pub fn region_for(
+        &mut self,
+        job: &Job,
+        journey: ForwardState,
+        now: Instant,
+    ) -> spill::Decision {
         let ticket = self.ticket(job);
         let servable = self.route.is_servable(&job.facts(&[]));
         let pool = self.pools.get(&job.model).filter(|_| servable);
         let wait = pool.map(|pool| pool.queue.predicted_wait(&ticket, &pool.capacity, now));
-        self.spill.here(&job.model, servable, now);
-        let facts = spill::Facts {
+        self.spill.update_availability(&job.model, servable, now);
+        let facts = spill::Criteria {
             home: &job.entry.home,
             prefers: job.entry.prefers,
             model: &job.model,
             wait,
-            service: ticket.service,
-            cold: COLD_TOKEN.mul_f64(job.prompt.get() as f64),
-            left: job.deadline.saturating_duration_since(now),
-            prefix: job.prefix.first().copied().unwrap_or(job.request.get() as u64),
-            journey,
+            service_time: ticket.service,
+            cold_penalty: COLD_TOKEN.mul_f64(job.prompt.get() as f64),
+            remaining: job.deadline.saturating_duration_since(now),
+            prefix_hash: job.prefix.first().copied().unwrap_or(job.request.get() as u64),
+            forward_state: journey,
         };
         self.spill.decide(&facts, now, &mut self.rng)
     }
@@ -60,8 +65,8 @@
     /// A request that was handed to another region has ended there, or was refused.
     pub fn returned(&mut self, job: &Job, region: &id::Region, refused: bool, now: Instant) {
         if refused {
-            self.spill.refused(region);
+            self.spill.record_refusal(region);
         }
-        self.spill.ended(region, &job.model, now);
+        self.spill.finish_forward(region, &job.model, now);
     }
 }
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -20,7 +20,7 @@
 use crate::decide::retry::Layer;
 use crate::decide::retry::Verdict;
 use crate::decide::spill;
-use crate::decide::spill::Journey;
+use crate::decide::spill::ForwardState;
 use crate::entry::Hub;
 use crate::entry::Job;
 use crate::entry::charged::Charged;
@@ -266,12 +266,12 @@
 
 /// Hands the request to another region where that is better; what is refused there stays here.
 async fn elsewhere(hub: &Arc<Hub>, job: &Arc<Job>, out: &Writer, checked: Checked) -> Elsewhere {
-    let journey = if job.is_forwarded() { Journey::HandedOver } else { Journey::Fresh };
+    let journey = if job.is_forwarded() { ForwardState::Forwarded } else { ForwardState::Original };
     let decision = hub.dispatch().region_for(job, journey, Instant::now());
     let region = match decision {
-        spill::Decision::HandOver(region) => region,
+        spill::Decision::Forward(region) => region,
         // Bound requests were sent home before their body was read.
-        spill::Decision::Stay | spill::Decision::Redirect(_) => {
+        spill::Decision::Local | spill::Decision::Redirect(_) => {
             return Elsewhere::Stays { checked, evidence: Vec::new() };
         }
     };
--- a/tests/load/regions.rs
+++ b/tests/load/regions.rs
@@ -5,12 +5,12 @@
 
 use masticstream::catalogue::Home;
 use masticstream::catalogue::Preference;
+use masticstream::decide::spill::Criteria;
 use masticstream::decide::spill::Decision;
 use masticstream::decide::spill::Digest;
-use masticstream::decide::spill::Facts;
-use masticstream::decide::spill::Journey;
+use masticstream::decide::spill::ForwardState;
+use masticstream::decide::spill::RegionSelector;
 use masticstream::decide::spill::Room;
-use masticstream::decide::spill::Spill;
 use masticstream::id;
 use masticstream::unit::Slots;
 use rand::Rng;
@@ -57,8 +57,9 @@
         (SmallRng::seed_from_u64(11), SmallRng::seed_from_u64(12), Instant::now());
     let model: id::Model = "storm".parse().unwrap();
     let region = |index: usize| -> id::Region { REGIONS[index].parse().unwrap() };
-    let mut vms: Vec<Vec<Spill>> =
-        (0..3).map(|r| (0..VMS).map(|_| Spill::new(region(r), VMS as u32)).collect()).collect();
+    let mut vms: Vec<Vec<RegionSelector>> = (0..3)
+        .map(|r| (0..VMS).map(|_| RegionSelector::new(region(r), VMS as u32)).collect())
+        .collect();
     let mut ends: Vec<Vec<f64>> = vec![Vec::new(); 3];
     let mut handed: Vec<(f64, usize, usize, usize)> = Vec::new();
     let mut queues: Vec<VecDeque<Request>> = (0..3).map(|_| VecDeque::new()).collect();
@@ -90,7 +91,7 @@
         }
         handed.retain(|&(end, home, vm, r)| {
             if end <= time {
-                vms[home][vm].ended(&region(r), &model, now);
+                vms[home][vm].finish_forward(&region(r), &model, now);
             }
             end > time
         });
@@ -103,7 +104,7 @@
                 room: [(model.clone(), room)].into(),
                 age: Duration::from_secs(2),
             };
-            vms.iter_mut().flatten().for_each(|vm| vm.digest(digest.clone(), now));
+            vms.iter_mut().flatten().for_each(|vm| vm.update_digest(digest.clone(), now));
         }
         for (home, load) in [1.5, 0.5, 0.5].into_iter().enumerate() {
             let rate = load * SLOTS as f64 / 2.0;
@@ -112,16 +113,16 @@
             }
             let (vm, service) = (rng.random_range(0..VMS), rng.random_range(1.0..3.0));
             let wait = room(&ends[home], &queues[home]).wait;
-            let facts = Facts {
+            let facts = Criteria {
                 home: &Home::Preferred(region(home)),
                 prefers,
                 model: &model,
                 wait: Some(wait),
-                service: Duration::from_secs(2),
-                cold: Duration::from_secs(1),
-                left: Duration::from_secs_f64(deadline),
-                prefix: rng.random(),
-                journey: Journey::Fresh,
+                service_time: Duration::from_secs(2),
+                cold_penalty: Duration::from_secs(1),
+                remaining: Duration::from_secs_f64(deadline),
+                prefix_hash: rng.random(),
+                forward_state: ForwardState::Original,
             };
             let target = match policy {
                 Policy::StayHome => home,
@@ -130,8 +131,8 @@
                     (0..3).min_by_key(|&r| (waits(r), r != home)).unwrap_or(home)
                 }
                 Policy::Ours => match vms[home][vm].decide(&facts, now, &mut choices) {
-                    Decision::HandOver(to) => (0..3).find(|&r| region(r) == to).unwrap_or(home),
-                    Decision::Stay | Decision::Redirect(_) => home,
+                    Decision::Forward(to) => (0..3).find(|&r| region(r) == to).unwrap_or(home),
+                    Decision::Local | Decision::Redirect(_) => home,
                 },
             };
             let moved = target != home;
--- a/tests/load/returning.rs
+++ b/tests/load/returning.rs
@@ -6,12 +6,12 @@
 
 use masticstream::catalogue::Home;
 use masticstream::catalogue::Preference;
+use masticstream::decide::spill::Criteria;
 use masticstream::decide::spill::Decision;
 use masticstream::decide::spill::Digest;
-use masticstream::decide::spill::Facts;
-use masticstream::decide::spill::Journey;
+use masticstream::decide::spill::ForwardState;
+use masticstream::decide::spill::RegionSelector;
 use masticstream::decide::spill::Room;
-use masticstream::decide::spill::Spill;
 use masticstream::id;
 use masticstream::unit::Slots;
 use rand::Rng;
@@ -37,9 +37,11 @@
 fn run(gradual: bool) -> Told {
     let (mut rng, start) = (SmallRng::seed_from_u64(21), Instant::now());
     let model: id::Model = "storm".parse().unwrap();
-    let mut spill = Spill::new("gulf".parse().unwrap(), 1);
+    let mut spill = RegionSelector::new("gulf".parse().unwrap(), 1);
     if gradual {
-        [true, false, true].into_iter().for_each(|serves| spill.here(&model, serves, start));
+        [true, false, true]
+            .into_iter()
+            .for_each(|serves| spill.update_availability(&model, serves, start));
     }
     let prefixes: Vec<u64> = (0..PREFIXES).map(|_| rng.random()).collect();
     let (mut ends, mut queue, mut away) = (Vec::new(), VecDeque::new(), Vec::<f64>::new());
@@ -48,12 +50,13 @@
         let time = step as f64 * STEP;
         let now = start + Duration::from_secs_f64(time);
         if step.is_multiple_of(100) {
-            spill.digest(digest(&model, step as u64, away.len()), now);
+            spill.update_digest(digest(&model, step as u64, away.len()), now);
         }
         ends.retain(|&end: &f64| end > time);
         let before = away.len();
         away.retain(|&end| end > time);
-        (away.len()..before).for_each(|_| spill.ended(&"piedmont".parse().unwrap(), &model, now));
+        (away.len()..before)
+            .for_each(|_| spill.finish_forward(&"piedmont".parse().unwrap(), &model, now));
         while ends.len() < SLOTS {
             let Some((due, prefix)) = queue.pop_front() else { break };
             let cold = cached.insert(prefix);
@@ -66,19 +69,19 @@
             continue;
         }
         let prefix = prefixes[rng.random_range(0..PREFIXES)];
-        let facts = Facts {
+        let facts = Criteria {
             home: &Home::Preferred("gulf".parse().unwrap()),
             prefers: Preference::Home,
             model: &model,
             wait: Some(Duration::from_secs_f64(queue.len() as f64 / SLOTS as f64)),
-            service: Duration::from_secs(1),
-            cold: Duration::ZERO,
-            left: Duration::from_secs_f64(DEADLINE),
-            prefix,
-            journey: Journey::Fresh,
+            service_time: Duration::from_secs(1),
+            cold_penalty: Duration::ZERO,
+            remaining: Duration::from_secs_f64(DEADLINE),
+            prefix_hash: prefix,
+            forward_state: ForwardState::Original,
         };
         told.sent += 1;
-        if spill.decide(&facts, now, &mut rng) == Decision::Stay {
+        if spill.decide(&facts, now, &mut rng) == Decision::Local {
             queue.push_back((time + DEADLINE, prefix));
         } else {
             told.away += 1;
