--- a/src/decide/engine.rs
+++ b/src/decide/engine.rs
@@ -1,98 +1,98 @@
-//! How long a model engine takes for a whole answer, learned from what its streams show.
+//! Latency model of an inference engine, learned from the response streams of its service.
 //!
-//! **Load pattern.** An engine makes a token for each request that runs there in every step, and reads prompts between
-//! the steps. A step gets longer with each request that runs and with each prompt that is read, so an answer in an engine
-//! that runs 128 requests takes three times as long as in one that runs 15, though both begin it at once.
+//! **Load pattern.** An engine generates one token for each running request per step and prefills prompts between steps.
+//! Steps get longer with the batch size and with each prefill, so an answer in a batch of 128 takes three times as long
+//! as in a batch of 15, even if both start at once.
 //!
-//! **Without it.** Judged by the first event alone, two engines are equal until one of them has no slot left. Engines of
-//! one region run 130 requests beside neighbours with four; long answers outlive their callers, and all that run there
-//! are lost with it when it fails.
+//! **Without it.** Compared by the time to the first event alone, all engines with a free slot look equal. Some engines of a
+//! region fill up while others run a few requests, and long answers exceed their deadlines.
 //!
-//! **What is learned.** Two lines for each service: the time to the first event against the tokens to be read before it,
-//! and the pause between events, as it is while no prompt is read, against the requests that run. Both are fitted through
-//! running quantiles, so that a stalled stream or a wrong load report moves neither. [`Length`] tells how many events an answer
-//! will have.
+//! **Model.** Two lines per service: the time to the first event over the tokens to prefill, and the gap between events over
+//! the batch size, without the time for prefills. Both are fitted through running quantiles, which are robust against
+//! stalled streams and wrong load reports. [`Length`] predicts the number of events of an answer.
 
 mod length;
-mod line;
 mod quantile;
+mod regression;
 
 use std::time::Duration;
 
 pub use length::Length;
 pub use length::Output;
-pub use line::Fit;
-pub use line::Line;
 pub use quantile::Quantile;
+pub use regression::Line;
+pub use regression::Regression;
 
-/// The first guess: an idle engine begins after 50 ms and reads 50 tokens a millisecond. It is wrong by a factor of four
-/// for some engines, and stands for the first seconds only.
-const FIRST: Fit = Fit { base: 0.05, slope: 1.0 / 50_000.0 };
+/// Prior for the time to the first event: 50 ms plus 20 µs per token.
+const PRIOR_FIRST_EVENT: Line = Line { intercept: 0.05, slope: 1.0 / 50_000.0 };
 
-/// The first guess of the pause between events: 40 ms alone, doubled by sixty requests beside.
-const PAUSE: Fit = Fit { base: 0.04, slope: 0.04 / 60.0 };
+/// Prior for the gap between events: 40 ms, doubled in a batch of sixty.
+const PRIOR_GAP: Line = Line { intercept: 0.04, slope: 0.04 / 60.0 };
 
-/// The share of pauses that lie below the line for them. A prompt that is read makes a step longer, and more of them are read
-/// where more run: through the middle of the pauses, a running request would seem to add more than it does. A quarter of the
-/// pauses have no reading in them even in an engine that reads for half of its time.
-const UNDISTURBED: f64 = 0.25;
+/// The quantile of the gaps that the line follows. Prefills lengthen gaps and are more frequent in large batches, so the
+/// median would attribute their time to the batch size. The lower quartile is free of prefills even in an engine that
+/// spends half of its time on them.
+const GAP_QUANTILE: f64 = 0.25;
 
-/// The engines of one service, as far as they are alike.
+/// Estimates the latency of the engines of one service.
 #[derive(Debug, Clone)]
 pub struct Engine {
-    first: Line,
-    pause: Line,
+    first_event: Regression,
+    gap: Regression,
 }
 
 impl Default for Engine {
     fn default() -> Self {
-        Self { first: Line::new(FIRST, 0.5), pause: Line::new(PAUSE, UNDISTURBED) }
+        Self {
+            first_event: Regression::new(PRIOR_FIRST_EVENT, 0.5),
+            gap: Regression::new(PRIOR_GAP, GAP_QUANTILE),
+        }
     }
 }
 
 impl Engine {
-    /// A first event came after that time, with so many tokens to be read before it.
-    pub fn began(&mut self, tokens: f64, took: Duration) {
-        self.first.add(tokens, took.as_secs_f64());
+    /// Records the time to a first event that was preceded by the prefill of `tokens`.
+    pub fn record_first_event(&mut self, tokens: f64, elapsed: Duration) {
+        self.first_event.add(tokens, elapsed.as_secs_f64());
     }
 
-    /// Events of a stream came that far apart while so many requests ran.
-    pub fn paced(&mut self, running: f64, pause: Duration) {
-        self.pause.add(running, pause.as_secs_f64());
+    /// Records the gap between two events of a stream in a batch of `running` requests.
+    pub fn record_gap(&mut self, running: f64, gap: Duration) {
+        self.gap.add(running, gap.as_secs_f64());
     }
 
-    /// What was learned so far.
+    /// Returns the current estimates.
     pub fn speed(&self) -> Speed {
-        Speed { first: self.first.fit(), pause: self.pause.fit() }
+        Speed { first_event: self.first_event.line(), gap: self.gap.line() }
     }
 }
 
-/// How fast an engine is, in seconds.
+/// Estimated latencies of an engine, in seconds.
 #[derive(Debug, Clone, Copy)]
 pub struct Speed {
-    first: Fit,
-    pause: Fit,
+    first_event: Line,
+    gap: Line,
 }
 
 impl Speed {
-    /// From arrival to the first event, with so many tokens to be read before it.
-    pub fn first(&self, tokens: f64) -> f64 {
-        self.first.at(tokens)
+    /// Returns the time from arrival to the first event if `tokens` are to be prefilled before it.
+    pub fn first_event(&self, tokens: f64) -> f64 {
+        self.first_event.at(tokens)
     }
 
-    /// The part of that which reading takes.
-    pub fn reading(&self, tokens: f64) -> f64 {
-        self.first.slope * tokens
+    /// Returns the time to prefill `tokens`.
+    pub fn prefill(&self, tokens: f64) -> f64 {
+        self.first_event.slope * tokens
     }
 
-    /// The pause between events beside so many running requests while no prompt is read.
-    pub fn pause(&self, running: f64) -> f64 {
-        self.pause.at(running)
+    /// Returns the gap between events in a batch of `running` requests, without prefills.
+    pub fn gap(&self, running: f64) -> f64 {
+        self.gap.at(running)
     }
 
-    /// How much longer one more running request makes each pause of all others.
-    pub const fn pause_per_request(&self) -> f64 {
-        self.pause.slope
+    /// Returns how much each further running request lengthens the gap between events.
+    pub const fn gap_per_request(&self) -> f64 {
+        self.gap.slope
     }
 }
 
--- a/src/decide/engine/length.rs
+++ b/src/decide/engine/length.rs
@@ -1,26 +1,26 @@
-//! How many events an answer will have.
+//! Prediction of the number of events of an answer.
 
 use super::Quantile;
 use crate::decide::route::Ewma;
 use crate::unit::Tokens;
 
-/// Events for each token, until answers have told more.
-const EVENTS_PER_TOKEN: f64 = 0.2;
+/// Events per token before any answer was observed.
+const DEFAULT_EVENTS_PER_TOKEN: f64 = 0.2;
 
-/// An answer is taken to have so many events at most; it bounds what an absurd statement can do.
-const MOST: f64 = 100_000.0;
+/// Upper bound of a prediction, in case a request states an absurd limit or hint.
+const MAX_EVENTS: f64 = 100_000.0;
 
-/// What a request says of the length of its answer.
+/// What a request states about the length of its answer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Output {
-    /// The most tokens that it may generate; zero where it does not say.
+    /// The maximum number of tokens to generate; zero if the request has no limit.
     pub limit: Tokens,
-    /// How many its caller expects. Right at the median, and often off by a factor of two.
+    /// The length that the caller expects. Its median error is zero, but a factor of two is common.
     pub hint: Option<Tokens>,
 }
 
 impl Output {
-    /// The tokens that it will probably have in memory at its end.
+    /// Returns the expected number of tokens at the end of the answer.
     pub fn likely(&self) -> Tokens {
         match self.hint {
             Some(hint) if hint < self.limit => hint,
@@ -29,18 +29,18 @@
     }
 }
 
-/// What the answers of a service show of their lengths.
+/// Predicts the lengths of the answers of a service from those observed.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Length {
     per_hint: Quantile,
     per_limit: Quantile,
-    /// The mean, which is what a request adds to the load of an engine.
+    /// The mean number of events, for requests without a hint or a limit.
     events: Ewma,
 }
 
 impl Length {
-    /// A whole answer had so many events.
-    pub fn ended(&mut self, output: &Output, events: u32) {
+    /// Records the number of events of a complete answer.
+    pub fn record(&mut self, output: &Output, events: u32) {
         let events = f64::from(events);
         self.events.add(events);
         if let Some(hint) = output.hint {
@@ -49,17 +49,17 @@
         self.per_limit.add(events / output.limit.get() as f64);
     }
 
-    /// The events that an answer will probably have; those of a usual one where the request says nothing.
+    /// Predicts the number of events of an answer; the mean if the request has neither a hint nor a limit.
     pub fn events(&self, output: &Output) -> f64 {
         let limit = output.limit.get() as f64;
         let events = match output.hint {
             Some(hint) => {
                 let hint = hint.get() as f64;
-                hint * self.per_hint.get().unwrap_or(EVENTS_PER_TOKEN)
+                hint * self.per_hint.get().unwrap_or(DEFAULT_EVENTS_PER_TOKEN)
             }
             None if output.limit == Tokens::ZERO => self.events.get().unwrap_or(0.0),
-            None => limit * self.per_limit.get().unwrap_or(EVENTS_PER_TOKEN),
+            None => limit * self.per_limit.get().unwrap_or(DEFAULT_EVENTS_PER_TOKEN),
         };
-        events.clamp(0.0, MOST)
+        events.clamp(0.0, MAX_EVENTS)
     }
 }
--- a/src/decide/engine/tests.rs
+++ b/src/decide/engine/tests.rs
@@ -8,127 +8,130 @@
 use super::Length;
 use super::Line;
 use super::Output;
-use super::line::Fit;
+use super::Regression;
 use crate::unit::Tokens;
 
-const GUESS: Fit = Fit { base: 0.04, slope: 0.001 };
+const PRIOR: Line = Line { intercept: 0.04, slope: 0.001 };
 
-fn near(got: f64, meant: f64, share: f64) -> bool {
-    (got - meant).abs() <= meant * share
+fn is_close(actual: f64, expected: f64, tolerance: f64) -> bool {
+    (actual - expected).abs() <= expected * tolerance
 }
 
-/// Samples of a line with an error of a fifth, the x drawn from those.
-fn learned(truth: Fit, from: std::ops::Range<f64>, outliers: f64) -> Fit {
+/// Fits a line to samples with an error of 20% and the given fraction of outliers.
+fn fit(truth: Line, range: std::ops::Range<f64>, outliers: f64) -> Line {
     let mut rng = SmallRng::seed_from_u64(7);
-    let mut line = Line::new(GUESS, 0.5);
+    let mut regression = Regression::new(PRIOR, 0.5);
     for _ in 0..2000 {
-        let x = rng.random_range(from.clone()).floor();
+        let x = rng.random_range(range.clone()).floor();
         let error = rng.random_range(0.8..1.2);
         let y = truth.at(x) * error;
-        line.add(x, if rng.random_bool(outliers) { y * 40.0 } else { y });
+        regression.add(x, if rng.random_bool(outliers) { y * 40.0 } else { y });
     }
-    line.fit()
+    regression.line()
 }
 
-// Engines of eight to 256 slots, with steps of one to twenty milliseconds: none is like the first guess.
+// Guards against estimates that stay at the prior.
 #[test]
-fn a_line_is_learned_from_noisy_samples() {
-    for base in [0.001, 0.02, 0.2] {
+fn a_line_is_fitted_to_noisy_samples() {
+    for intercept in [0.001, 0.02, 0.2] {
         for slope in [0.00002, 0.0005, 0.01] {
-            let truth = Fit { base, slope };
-            let fit = learned(truth, 1.0..120.0, 0.0);
+            let truth = Line { intercept, slope };
+            let line = fit(truth, 1.0..120.0, 0.0);
             for x in [5.0, 30.0, 100.0] {
-                assert!(near(fit.at(x), truth.at(x), 0.2), "{truth:?} {fit:?} at {x}");
+                assert!(is_close(line.at(x), truth.at(x), 0.2), "{truth:?} {line:?} at {x}");
             }
         }
     }
 }
 
-// One sample in ten is forty times too long: its stream stalled. A line of least squares would be five times too high.
+// A tenth of the samples come from stalled streams. Least squares would overestimate the line by a factor of five.
 #[test]
-fn stalled_streams_move_it_little() {
-    let truth = Fit { base: 0.03, slope: 0.0007 };
-    let fit = learned(truth, 1.0..120.0, 0.1);
+fn outliers_have_little_influence() {
+    let truth = Line { intercept: 0.03, slope: 0.0007 };
+    let line = fit(truth, 1.0..120.0, 0.1);
     for x in [5.0, 30.0, 100.0] {
-        assert!(near(fit.at(x), truth.at(x), 0.25), "{fit:?} at {x}");
+        assert!(is_close(line.at(x), truth.at(x), 0.25), "{line:?} at {x}");
     }
 }
 
-// Only one load was ever seen. Nothing tells the slope, so the guess is brought to the level that was seen.
+// Samples at nearly the same x don't determine a slope; the prior is scaled to their level.
 #[test]
-fn a_single_load_tells_the_level() {
-    let fit = learned(Fit { base: 0.4, slope: 0.01 }, 20.0..22.0, 0.0);
-    assert!(near(fit.at(21.0), 0.61, 0.15), "{fit:?}");
-    assert!(fit.slope > 0.0 && fit.base > 0.0);
+fn samples_at_one_load_scale_the_prior() {
+    let line = fit(Line { intercept: 0.4, slope: 0.01 }, 20.0..22.0, 0.0);
+    assert!(is_close(line.at(21.0), 0.61, 0.15), "{line:?}");
+    assert!(line.slope > 0.0 && line.intercept > 0.0);
 }
 
-// Each event of each stream is a sample: 1,600 are two seconds of an engine that runs fifty requests.
+// Guards against estimates that do not follow a change; 1,600 samples are two seconds of a batch of fifty.
 #[test]
-fn an_engine_that_changed_is_learned_anew() {
+fn a_changed_latency_is_learned() {
     let mut engine = Engine::default();
-    for pause in [40, 120] {
+    for gap in [40, 120] {
         for nth in 0..1600 {
-            engine.paced(f64::from(10 + nth % 50), Duration::from_millis(pause));
+            engine.record_gap(f64::from(10 + nth % 50), Duration::from_millis(gap));
         }
-        let learned = engine.speed().pause(30.0);
-        assert!(near(learned, pause as f64 / 1000.0, 0.2), "{learned} for {pause} ms");
+        let learned = engine.speed().gap(30.0);
+        assert!(is_close(learned, gap as f64 / 1000.0, 0.2), "{learned} for {gap} ms");
     }
 }
 
 #[test]
-fn absurd_samples_are_bounded() {
-    let mut line = Line::new(GUESS, 0.5);
-    for bad in [f64::NAN, f64::INFINITY, -1.0] {
+fn invalid_and_extreme_samples_are_bounded() {
+    let mut regression = Regression::new(PRIOR, 0.5);
+    for invalid in [f64::NAN, f64::INFINITY, -1.0] {
         for _ in 0..50 {
-            line.add(bad, 1.0);
-            line.add(1.0, bad);
+            regression.add(invalid, 1.0);
+            regression.add(1.0, invalid);
         }
     }
-    assert_eq!(line.fit(), GUESS);
+    assert_eq!(regression.line(), PRIOR);
     for _ in 0..50 {
-        line.add(1e18, 1e12);
-        line.add(0.0, 1e-12);
+        regression.add(1e18, 1e12);
+        regression.add(0.0, 1e-12);
     }
-    let fit = line.fit();
-    assert!(fit.base.is_finite() && fit.slope.is_finite() && fit.at(10.0) >= 0.0, "{fit:?}");
+    let line = regression.line();
+    assert!(
+        line.intercept.is_finite() && line.slope.is_finite() && line.at(10.0) >= 0.0,
+        "{line:?}"
+    );
 }
 
-// Callers state a limit that no answer reaches, and hint at a length that is right at the median.
+// No answer reaches its limit, so a prediction from the limit alone would be far too high.
 #[test]
-fn lengths_follow_hints_where_there_are_some() {
+fn predicted_lengths_follow_hints() {
     let mut rng = SmallRng::seed_from_u64(3);
     let mut length = Length::default();
     let output =
         |hint: Option<u64>| Output { limit: Tokens::new(1000), hint: hint.map(Tokens::new) };
     for _ in 0..500 {
         let events: u32 = rng.random_range(5..80);
-        let off = rng.random_range(-0.7_f64..0.7).exp();
-        length.ended(&output(Some((f64::from(events) * 7.0 * off) as u64)), events);
+        let error = rng.random_range(-0.7_f64..0.7).exp();
+        length.record(&output(Some((f64::from(events) * 7.0 * error) as u64)), events);
     }
-    assert!(near(length.events(&output(Some(350))), 50.0, 0.25));
-    assert!(near(length.events(&output(None)), 42.0, 0.3), "{}", length.events(&output(None)));
-    assert!(near(length.events(&Output::default()), 42.0, 0.4));
-    let absurd = [output(Some(0)), output(Some(u64::MAX)), Output::default()];
-    for output in absurd {
-        length.ended(&output, u32::MAX);
+    assert!(is_close(length.events(&output(Some(350))), 50.0, 0.25));
+    assert!(is_close(length.events(&output(None)), 42.0, 0.3), "{}", length.events(&output(None)));
+    assert!(is_close(length.events(&Output::default()), 42.0, 0.4));
+    let extreme = [output(Some(0)), output(Some(u64::MAX)), Output::default()];
+    for output in extreme {
+        length.record(&output, u32::MAX);
         assert!(length.events(&output).is_finite());
     }
 }
 
-// Prompts are read between the steps, in four of ten pauses at a low load and in six of ten at a high one. What one more
-// running request adds must not be taken from that: placed by it, streams flee engines that would serve them well.
+// Prefills lengthen more gaps at a high load than at a low one. Their time must not be attributed to the batch size, or
+// busy engines are avoided that would serve a stream well.
 #[test]
-fn reading_between_steps_does_not_count_as_running_requests() {
+fn prefills_do_not_raise_the_gap_per_request() {
     let mut rng = SmallRng::seed_from_u64(5);
     let mut engine = Engine::default();
-    let pause = |running: f64| 0.025 + 0.0007 * running;
+    let gap = |running: f64| 0.025 + 0.0007 * running;
     for _ in 0..4000 {
         let running = rng.random_range(5.0_f64..100.0).floor();
-        let is_read = rng.random_bool(0.4 + running / 500.0);
-        let reading = if is_read { rng.random_range(0.01..0.06) } else { 0.0 };
-        engine.paced(running, Duration::from_secs_f64(pause(running) + reading));
+        let is_prefill = rng.random_bool(0.4 + running / 500.0);
+        let prefill = if is_prefill { rng.random_range(0.01..0.06) } else { 0.0 };
+        engine.record_gap(running, Duration::from_secs_f64(gap(running) + prefill));
     }
     let speed = engine.speed();
-    assert!(near(speed.pause_per_request(), 0.0007, 0.35), "{speed:?}");
-    assert!(near(speed.pause(50.0), pause(50.0), 0.15), "{speed:?}");
+    assert!(is_close(speed.gap_per_request(), 0.0007, 0.35), "{speed:?}");
+    assert!(is_close(speed.gap(50.0), gap(50.0), 0.15), "{speed:?}");
 }
--- a/src/decide/place.rs
+++ b/src/decide/place.rs
@@ -337,7 +337,7 @@
         // where that is wrong, reading looks faster than it is.
         if held.is_known && held.rounds <= 1.0 && tracked.seen.memory.is_some() {
             let took = now.saturating_duration_since(held.sent);
-            model.engine.began(held.before.get() as f64, took);
+            model.engine.record_first_event(held.before.get() as f64, took);
         }
     }
 
@@ -347,10 +347,10 @@
             return;
         };
         let running = tracked.inside(model, share, now);
-        model.engine.paced(running, now.saturating_duration_since(held.last));
+        model.engine.record_gap(running, now.saturating_duration_since(held.last));
         if held.events - first >= PACED {
             let pause = now.saturating_duration_since(since) / (held.events - first);
-            let ratio = pause.as_secs_f64() / model.engine.speed().pause(running);
+            let ratio = pause.as_secs_f64() / model.engine.speed().gap(running);
             tracked.paced(ratio);
             model.slowness.add(ratio);
             held.paced = Some((now, held.events));
@@ -371,7 +371,7 @@
         }
         model.served(now.saturating_duration_since(held.sent), held.rounds);
         if tracked.seen.memory.is_some() {
-            model.length.ended(&held.output, held.events);
+            model.length.record(&held.output, held.events);
         }
     }
 
--- a/src/decide/place/cost.rs
+++ b/src/decide/place/cost.rs
@@ -76,10 +76,10 @@
     /// parts away from engines that would have been in time.
     pub fn estimate(&self, usual: &Usual, longest: Duration) -> Estimate {
         let speed = &usual.speed;
-        let stream = self.events * speed.pause(self.running + 1.0) * self.slowness;
+        let stream = self.events * speed.gap(self.running + 1.0) * self.slowness;
         let whole = self.first + stream;
-        let longer = self.events * speed.pause_per_request() * self.slowness;
-        let beside = self.running * (longer + speed.reading(self.reads));
+        let longer = self.events * speed.gap_per_request() * self.slowness;
+        let beside = self.running * (longer + speed.prefill(self.reads));
         let evicted = self.again / 1000.0 * PER_KILOTOKEN;
         let is_refused = self.first > longest.as_secs_f64();
         let refusal = if is_refused { refusal(usual.taken) } else { 0.0 };
--- a/src/decide/place/regions.rs
+++ b/src/decide/place/regions.rs
@@ -256,7 +256,7 @@
     let reads = (passage.work.own + again).get() as f64;
     let way = (outlook.wait + TRIP).as_secs_f64();
     Case {
-        first: way + usual.speed.reading(reads),
+        first: way + usual.speed.prefill(reads),
         reads,
         again: again.get() as f64,
         events: usual.length.events(&passage.work.output),
--- a/src/decide/place/tracked.rs
+++ b/src/decide/place/tracked.rs
@@ -190,7 +190,7 @@
         // First events were measured at engines that read beside them as a rule.
         let against_others = slowness / usual.slowness;
         Case {
-            first: usual.speed.first(before) * against_others + for_slot + thrown_out,
+            first: usual.speed.first_event(before) * against_others + for_slot + thrown_out,
             reads,
             again: again.get() as f64,
             events: usual.length.events(&demand.work.output),
--- a/src/decide/place/tracked/region.rs
+++ b/src/decide/place/tracked/region.rs
@@ -85,7 +85,7 @@
     pub(super) fn is_dark(&self, speed: &Speed, now: Instant) -> bool {
         let own = self.load(now);
         let all = self.region(now).map_or(own, |others| own.with(others));
-        let reads = speed.reading(all.unread_tokens as f64);
+        let reads = speed.prefill(all.unread_tokens as f64);
         let patience =
             DARK + Duration::try_from_secs_f64(DARK_READS * reads).unwrap_or(Duration::MAX);
         all.quiet > patience && all.heard.is_none_or(|heard| heard > patience)
