--- a/src/decide/place.rs
+++ b/src/decide/place.rs
@@ -1,29 +1,29 @@
-//! Which upstream of this region runs a request, and how long its caller will wait for the first event.
+//! Selects the upstream of this region that runs a request, and estimates the latency.
 //!
-//! **Load pattern.** Model engines read prompts one after the other, between the steps of all that run. Long prompts
-//! share most of their tokens with others, and take an engine that holds the shared part a fraction of the time. Streams
-//! of many events run beside them, and each of them slows all others.
+//! **Load pattern.** Inference engines prefill prompts one at a time, between decoding steps. Most tokens of a long
+//! prompt belong to a prefix shared with other prompts, and an engine with the prefix in its cache needs a fraction
+//! of the time. Every running stream slows down the others in its batch.
 //!
-//! **Without it.** Placed by free slots alone, each engine reads each shared part again and again: three quarters of
-//! the prompt work is waste, the engines' memory holds a bit of everything, and a region is full at a quarter of what
-//! it can serve. Placed by the shared part alone, one hot part overruns its engine while the others idle.
+//! **Without it.** Load balancing by free slots recomputes each prefix on every engine: three quarters of the prefill
+//! work is redundant, caches thrash, and a region saturates at a quarter of its capacity. Strict prefix affinity
+//! overloads the engine of a hot prefix while others idle.
 //!
-//! **Decision.** The upstream with the least cost to all callers ([`cost`]): the time to the first event (what is still to
-//! be read there before it, what it has to read of this prompt, and the wait for a slot where all are taken), the time to
-//! the last one, and how much longer those that run there take. Own requests are known exactly, those of other VMs from
-//! what the region's VMs share ([`sharing`](super::sharing)), and where that is not at hand from load reports. All VMs find
-//! the same engine for a shared part by rendezvous hashing, so that it is read once; an engine whose load exceeds the price
-//! of reading the part elsewhere loses it to another one. Which region's engine that is, `regions` tells.
+//! **Decision.** The upstream with the lowest [`cost`] to all callers wins: the time to the first event (queued
+//! prefills, the prompt's own prefill, the wait for a slot), the time to the last event, and the slowdown of the
+//! requests that already run there. Own requests are counted exactly, those of other VMs come from
+//! [`sharing`](super::sharing) or, failing that, from load reports. All VMs find the same engine for a prefix by
+//! rendezvous hashing; another one is chosen if the queue of that engine costs more than a recomputation. `regions`
+//! finds the region of that engine.
 
 mod cache;
 mod cold;
 pub mod cost;
+mod decision;
 mod health;
-mod model;
 mod regions;
 mod sample;
-mod scene;
-mod tracked;
+mod service;
+mod upstream;
 pub mod wait;
 
 use std::collections::BTreeMap;
@@ -35,10 +35,10 @@
 use rand::rngs::SmallRng;
 use tokio::time::Instant;
 
-use self::model::Model;
-use self::model::Usual;
-use self::scene::Scene;
-use self::tracked::Tracked;
+use self::decision::Decision;
+use self::service::Profile;
+use self::service::ServiceStats;
+use self::upstream::UpstreamState;
 use crate::decide::engine::Output;
 use crate::decide::route::rendezvous;
 use crate::decide::sharing::Key;
@@ -50,370 +50,391 @@
 use crate::unit::Tokens;
 
 pub use cold::Cold;
-pub use cold::Share;
+pub use cold::Sender;
 pub use health::Outcome;
-pub use model::Shared;
-pub use model::Work;
 pub use regions::Holder;
-pub use regions::Offer;
-pub use regions::Open;
+pub use regions::OpenUpstreams;
 pub use regions::Outlook;
-pub use regions::Passage;
+pub use regions::RegionCandidate;
+pub use regions::RegionQuery;
 pub use regions::Regions;
-pub use tracked::Report;
+pub use service::Prefix;
+pub use service::Work;
+pub use upstream::Report;
 
-/// How an engine's pauses compare with others' is measured over so many of them: a single one is as long as the prompt that
-/// is read within it.
-const PACED: u32 = 8;
+/// Number of event gaps averaged into one slowdown sample; a single gap may consist of the prefill of one prompt.
+const GAP_SAMPLES: u32 = 8;
 
-/// The engines of a region that may hold a shared part: where the first one is behind, all VMs take the same second one.
-const FOUND: usize = 2;
+/// Number of engines per prefix found by rendezvous hashing, so that all VMs fall back to the same second engine.
+const PREFIX_CANDIDATES: usize = 2;
 
-/// Uses that wait to be told, at most: where nobody takes them, the oldest knowledge is the best that others get.
-const MOST_USES: usize = 64;
+/// Maximum number of prefix uses queued for other VMs.
+const MAX_PENDING_USES: usize = 64;
 
-/// What is known of an upstream besides what its answers tell.
+/// What the roster and the configuration say about an upstream.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Seen {
-    /// Its name.
+pub struct Endpoint {
+    /// The name of the upstream.
     pub id: id::Upstream,
-    /// Its start; another one has empty caches and a clean record.
-    pub born: u64,
-    /// The service that it is a copy of.
+    /// The incarnation; a new one starts with an empty cache and no failures.
+    pub incarnation: u64,
+    /// The service that the upstream is a replica of.
     pub service: String,
-    /// Where it takes connections.
+    /// The address for connections.
     pub address: SocketAddr,
-    /// The requests that it runs at once.
+    /// The number of requests that run concurrently.
     pub slots: Slots,
-    /// An engine's memory; none for a plain service.
+    /// The KV cache size of an engine; `None` for a plain service.
     pub memory: Option<Tokens>,
-    /// This VM's part of the connections that it accepts.
+    /// This VM's share of the connection limit.
     pub connections: u32,
-    /// Until when it is cold, and what it bears until then.
+    /// The rate limit after a start, while the upstream is cold.
     pub cold: Option<Cold>,
-    /// Whether it takes new requests.
+    /// Whether the upstream accepts new requests.
     pub open: bool,
-    /// Nothing was heard of it for long; it is used where no other is there.
+    /// Whether its heartbeats are missing; such an upstream is used only if there is no other.
     pub silent: bool,
 }
 
-/// A request that looks for an upstream.
+/// The requirements of a request that needs an upstream.
 #[derive(Debug, Clone, Copy)]
-pub struct Demand<'a> {
-    /// The service.
+pub struct Query<'a> {
+    /// The name of the service.
     pub service: &'a str,
-    /// What it asks of an engine.
+    /// The work for an engine.
     pub work: Work,
-    /// Upstreams that it has tried.
+    /// Upstreams that already were tried.
     pub tried: &'a [id::Upstream],
-    /// Whether this region holds the shared part of its prompt.
-    pub holds: bool,
-    /// Whether no other request to the service goes before it.
+    /// Whether the engine for the prefix is in this region.
+    pub holds_prefix: bool,
+    /// Whether the request has the highest priority of the service.
     pub urgent: bool,
-    /// The longest that it may be expected to wait for its first event; beyond it, it is refused.
-    pub longest: Duration,
+    /// The maximum expected time to the first event; above it, the request is rejected.
+    pub max_wait: Duration,
 }
 
-/// An upstream for a request.
+/// The upstream selected for a request, with the expected latency.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fit {
+pub struct Placement {
     /// The upstream.
     pub id: id::Upstream,
-    /// Where it takes connections.
+    /// The address for connections.
     pub address: SocketAddr,
     /// The expected time to the first event.
-    pub expected: Duration,
+    pub first_event: Duration,
     /// The expected time to the last event.
-    pub whole: Duration,
-    /// All that speaks against it, to compare.
+    pub last_event: Duration,
+    /// The total cost, for comparison.
     pub cost: Duration,
-    /// What the prompt will cost it.
-    pub reads: Tokens,
-    /// The requests of all VMs there, as far as they are known.
+    /// The tokens of the prompt that are to be prefilled.
+    pub prefill: Tokens,
+    /// The known requests of all VMs on the upstream.
     pub running: u32,
-    /// How long ago it was told what the region's other VMs have there; none where that was not told lately.
-    pub told: Option<Duration>,
-    /// The tokens that it reads before the first event, those of other requests included.
-    before: Tokens,
+    /// The age of the data on other VMs' requests; `None` if there is none or it is stale.
+    pub load_age: Option<Duration>,
+    /// The tokens that are prefilled before the first event, those of other requests included.
+    queued_prefill: Tokens,
 }
 
-/// What a request that was sent holds of its upstream, until it has ended.
+/// A request in flight, with the resources it uses on its upstream.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Held {
+pub struct InFlight {
     /// The upstream.
     pub id: id::Upstream,
-    born: u64,
-    reads: Tokens,
-    before: Tokens,
-    /// Whether its own part of that is surely read.
-    is_known: bool,
+    incarnation: u64,
+    prefill: Tokens,
+    queued_prefill: Tokens,
+    /// Whether `prefill` is exact, which requires a prompt without cached tokens.
+    is_prefill_exact: bool,
     memory: Tokens,
     output: Output,
-    sent: Instant,
-    /// The service times that it was to take, those of the requests before it included.
+    sent_at: Instant,
+    /// The expected duration in multiples of the service time, the wait for a slot included.
     rounds: f64,
-    /// The events that came.
+    /// The number of events received.
     events: u32,
-    /// From when, and from which event, the present pauses are measured; none before the first event.
-    paced: Option<(Instant, u32)>,
-    /// When the last event came.
-    last: Instant,
+    /// The start and the first event of the current gap measurement; `None` before the first event.
+    gap_start: Option<(Instant, u32)>,
+    /// The time of the last event.
+    last_event: Instant,
 }
 
-/// All upstreams of a region, as one VM knows them.
+/// Selects among the upstreams of a region, from the view of one VM.
 #[derive(Debug)]
-pub struct Place {
+pub struct Balancer {
     rng: SmallRng,
-    /// In an order of their own, so that equal seeds of the random numbers give equal choices.
-    tracked: BTreeMap<id::Upstream, Tracked>,
-    models: HashMap<String, Model>,
-    /// This VM's place among those that send to them.
-    share: Share,
-    /// Uses of shared parts that the other VMs have not been told.
+    /// Ordered, so that decisions are reproducible for a given seed.
+    upstreams: BTreeMap<id::Upstream, UpstreamState>,
+    services: HashMap<String, ServiceStats>,
+    /// This VM's rank among the VMs that send to these upstreams.
+    sender: Sender,
+    /// Prefix uses not yet sent to other VMs.
     uses: Vec<Use>,
 }
 
-impl Place {
-    /// Nothing known yet.
+impl Balancer {
+    /// Creates a balancer without upstreams.
     pub fn new(rng: SmallRng) -> Self {
         Self {
             rng,
-            tracked: BTreeMap::new(),
-            models: HashMap::new(),
-            share: Share::new(0, 1),
+            upstreams: BTreeMap::new(),
+            services: HashMap::new(),
+            sender: Sender::new(0, 1),
             uses: Vec::new(),
         }
     }
 
-    /// Takes in which upstreams there are, and this VM's place among those that send to them.
-    pub fn sync(&mut self, seen: Vec<Seen>, share: Share) {
-        self.share = share;
+    /// Updates the list of upstreams and this VM's rank.
+    pub fn sync(&mut self, endpoints: Vec<Endpoint>, sender: Sender) {
+        self.sender = sender;
         let names: std::collections::HashSet<id::Upstream> =
-            seen.iter().map(|seen| seen.id.clone()).collect();
-        self.tracked.retain(|id, tracked| names.contains(id) || tracked.running() > 0);
-        for (id, tracked) in &mut self.tracked {
+            endpoints.iter().map(|endpoint| endpoint.id.clone()).collect();
+        self.upstreams.retain(|id, upstream| names.contains(id) || upstream.running() > 0);
+        for (id, upstream) in &mut self.upstreams {
             if !names.contains(id) {
-                tracked.seen.open = false;
+                upstream.endpoint.open = false;
             }
         }
-        for seen in seen {
-            match self.tracked.get_mut(&seen.id) {
-                Some(tracked) => tracked.update(seen),
+        for endpoint in endpoints {
+            match self.upstreams.get_mut(&endpoint.id) {
+                Some(upstream) => upstream.update(endpoint),
                 None => {
-                    self.tracked.insert(seen.id.clone(), Tracked::new(seen));
+                    self.upstreams.insert(endpoint.id.clone(), UpstreamState::new(endpoint));
                 }
             }
         }
     }
 
-    /// The best upstream for a request; none where there is none that may take it now.
-    pub fn choose(&mut self, demand: &Demand<'_>, now: Instant) -> Option<Fit> {
-        let found = self.found(demand);
-        let nothing = Model::default();
-        let model = self.models.get(demand.service).unwrap_or(&nothing);
-        let usual = self.usual(demand.service);
-        let mut scene = Scene::new(demand, (model, usual), self.share, now);
-        let mut candidates = scene.candidates(&self.tracked);
-        let scene = scene.with_holders(found, &candidates);
-        let most = scene.sample(&mut candidates, &mut self.rng);
-        let fits = candidates[..most]
+    /// Returns the upstream with the lowest cost, or `None` if no upstream accepts the request.
+    pub fn choose(&mut self, query: &Query<'_>, now: Instant) -> Option<Placement> {
+        let prefix_candidates = self.prefix_candidates(query);
+        let no_stats = ServiceStats::default();
+        let stats = self.services.get(query.service).unwrap_or(&no_stats);
+        let profile = self.profile(query.service);
+        let mut decision = Decision::new(query, (stats, profile), self.sender, now);
+        let mut candidates = decision.candidates(&self.upstreams);
+        let decision = decision.with_prefix_candidates(prefix_candidates, &candidates);
+        let count = decision.sample(&mut candidates, &mut self.rng);
+        let placements = candidates[..count]
             .iter()
-            .map(|(id, tracked)| scene.fit(id, tracked, self.rng.random()));
-        fits.min_by_key(|fit| fit.cost)
+            .map(|(id, upstream)| decision.evaluate(id, upstream, self.rng.random()));
+        placements.min_by_key(|placement| placement.cost)
     }
 
-    /// What this VM has at the upstreams of a shard, for the shard's host.
+    /// Returns this VM's load on the upstreams of a shard, for the shard's host.
     pub fn loads(&self, shard: u8, now: Instant) -> Vec<(Key, Load)> {
-        let tracked = self.tracked.values().filter(|tracked| tracked.key().shard() == shard);
-        let loads = tracked.map(|tracked| (tracked.key(), tracked.load(now)));
+        let upstreams = self.upstreams.values().filter(|upstream| upstream.key().shard() == shard);
+        let loads = upstreams.map(|upstream| (upstream.key(), upstream.load(now)));
         loads.filter(|(_, load)| !load.is_empty()).collect()
     }
 
-    /// Takes the uses of shared parts at the upstreams of a shard that the others have not been told.
-    pub fn uses(&mut self, shard: u8) -> Vec<Use> {
+    /// Removes and returns the prefix uses on the upstreams of a shard.
+    pub fn take_uses(&mut self, shard: u8) -> Vec<Use> {
         let (taken, left) =
             self.uses.drain(..).partition(|used: &Use| used.engine.shard() == shard);
         self.uses = left;
         taken
     }
 
-    /// A shard's host told what the other VMs have at its upstreams; they have nothing where it names none.
-    pub fn told(&mut self, summary: &Summary, now: Instant) {
+    /// Applies a summary of other VMs' load from a shard's host. Upstreams missing from it have no load.
+    pub fn apply_summary(&mut self, summary: &Summary, now: Instant) {
         let loads: HashMap<Key, Load> = summary.loads.iter().copied().collect();
-        for tracked in self.tracked.values_mut() {
-            let key = tracked.key();
+        for upstream in self.upstreams.values_mut() {
+            let key = upstream.key();
             if key.shard() != summary.shard {
                 continue;
             }
-            tracked.told_by_host(loads.get(&key).copied().unwrap_or_default(), now);
+            upstream.set_peer_load(loads.get(&key).copied().unwrap_or_default(), now);
             let uses = summary.uses.iter().filter(|used| used.engine == key);
             for used in uses {
-                let shared = Shared { key: used.part, tokens: Tokens::new(used.tokens) };
-                tracked.used_by_other(shared, now);
+                let prefix = Prefix { key: used.part, tokens: Tokens::new(used.tokens) };
+                upstream.record_peer_use(prefix, now);
             }
         }
     }
 
-    /// How much the region's first engine for a shared part weighs against those of other regions.
-    pub fn weight(&self, service: &str, shared: &Shared) -> Option<u64> {
+    /// Returns the highest rendezvous weight of the region's engines for a prefix, for comparison with other regions.
+    pub fn rendezvous_weight(&self, service: &str, prefix: &Prefix) -> Option<u64> {
         let weights =
-            self.holders(service).map(|(id, _)| rendezvous::weight(shared.key, id.as_str()));
+            self.available(service).map(|(id, _)| rendezvous::weight(prefix.key, id.as_str()));
         weights.max()
     }
 
-    /// What holds for all engines of the service.
-    pub fn usual(&self, service: &str) -> Usual {
-        let mut engines = self.tracked.values().filter(|tracked| tracked.seen.service == service);
-        let slots = engines.next().map_or(1.0, Tracked::slots);
-        self.models
+    /// Returns the typical parameters of the engines of a service.
+    pub fn profile(&self, service: &str) -> Profile {
+        let mut engines =
+            self.upstreams.values().filter(|upstream| upstream.endpoint.service == service);
+        let slots = engines.next().map_or(1.0, UpstreamState::slots);
+        self.services
             .get(service)
-            .map_or_else(|| Model::default().usual(slots), |model| model.usual(slots))
+            .map_or_else(|| ServiceStats::default().profile(slots), |stats| stats.profile(slots))
     }
 
-    /// How a usual request of that urgency would fare, for VMs of other regions.
+    /// Estimates the latency of a typical request, for VMs of other regions.
     pub fn outlook(&mut self, service: &str, urgent: bool, now: Instant) -> Option<Outlook> {
-        let (work, longest) = (Work::default(), Duration::MAX);
-        let demand = Demand { service, work, tried: &[], holds: false, urgent, longest };
-        let fit = self.choose(&demand, now)?;
-        let failures = self.tracked.get(&fit.id).map(|tracked| tracked.penalty(now));
-        let wait = fit.expected + failures.unwrap_or_default();
-        Some(Outlook { wait, running: fit.running })
+        let (work, max_wait) = (Work::default(), Duration::MAX);
+        let query = Query { service, work, tried: &[], holds_prefix: false, urgent, max_wait };
+        let placement = self.choose(&query, now)?;
+        let failures = self.upstreams.get(&placement.id).map(|upstream| upstream.penalty(now));
+        let wait = placement.first_event + failures.unwrap_or_default();
+        Some(Outlook { wait, running: placement.running })
     }
 
-    /// A request is sent there.
-    pub fn sent(&mut self, fit: &Fit, work: &Work, now: Instant) -> Held {
-        let tracked = self.tracked.get_mut(&fit.id);
-        let born = tracked.as_ref().map_or(0, |tracked| tracked.seen.born);
-        let memory = work.own + work.output.likely();
+    /// Records that a request was sent to the selected upstream.
+    pub fn record_sent(&mut self, placement: &Placement, work: &Work, now: Instant) -> InFlight {
+        let upstream = self.upstreams.get_mut(&placement.id);
+        let incarnation = upstream.as_ref().map_or(0, |upstream| upstream.endpoint.incarnation);
+        let memory = work.suffix + work.output.likely();
         let mut rounds = 1.0;
-        if let Some(tracked) = tracked {
-            let model = self.models.entry(tracked.seen.service.clone()).or_default();
-            rounds = tracked.rounds(tracked.inside(model, self.share, now));
-            model.sent(fit.reads, now);
-            tracked.sent(work, fit.reads, memory, self.share, now);
-            let shared = work.shared.filter(|_| self.uses.len() < MOST_USES);
-            self.uses.extend(shared.map(|shared| Use {
-                engine: tracked.key(),
-                part: shared.key,
-                tokens: shared.tokens.get(),
+        if let Some(upstream) = upstream {
+            let stats = self.services.entry(upstream.endpoint.service.clone()).or_default();
+            rounds = upstream.rounds(upstream.total_requests(stats, self.sender, now));
+            stats.record_sent(placement.prefill, now);
+            upstream.record_sent(work, placement.prefill, memory, self.sender, now);
+            let prefix = work.prefix.filter(|_| self.uses.len() < MAX_PENDING_USES);
+            self.uses.extend(prefix.map(|prefix| Use {
+                engine: upstream.key(),
+                part: prefix.key,
+                tokens: prefix.tokens.get(),
             }));
         }
-        Held {
-            id: fit.id.clone(),
-            born,
-            reads: fit.reads,
-            before: fit.before,
-            is_known: fit.reads == work.own,
+        InFlight {
+            id: placement.id.clone(),
+            incarnation,
+            prefill: placement.prefill,
+            queued_prefill: placement.queued_prefill,
+            is_prefill_exact: placement.prefill == work.suffix,
             memory,
             output: work.output,
-            sent: now,
+            sent_at: now,
             rounds,
             events: 0,
-            paced: None,
-            last: now,
+            gap_start: None,
+            last_event: now,
         }
     }
 
-    /// An event of its answer, or its whole answer, came.
-    pub fn event(&mut self, held: &mut Held, now: Instant) {
-        held.events = held.events.saturating_add(1);
-        if let Some(tracked) = self.tracked.get_mut(&held.id) {
-            tracked.heard(now);
+    /// Records an event of the answer, or the complete answer.
+    pub fn record_event(&mut self, in_flight: &mut InFlight, now: Instant) {
+        in_flight.events = in_flight.events.saturating_add(1);
+        if let Some(upstream) = self.upstreams.get_mut(&in_flight.id) {
+            upstream.record_response(now);
         }
-        match held.paced {
-            None => self.began(held, now),
-            Some(paced) => self.paced(held, paced, now),
+        match in_flight.gap_start {
+            None => self.record_first_event(in_flight, now),
+            Some(gap_start) => self.record_gap(in_flight, gap_start, now),
         }
-        held.last = now;
+        in_flight.last_event = now;
     }
 
-    fn began(&mut self, held: &mut Held, now: Instant) {
-        held.paced = Some((now, held.events));
-        let Some((tracked, model)) = held_at(&mut self.tracked, &mut self.models, held) else {
+    fn record_first_event(&mut self, in_flight: &mut InFlight, now: Instant) {
+        in_flight.gap_start = Some((now, in_flight.events));
+        let Some((upstream, stats)) = state_of(&mut self.upstreams, &mut self.services, in_flight)
+        else {
             return;
         };
-        tracked.unread(held.reads);
-        // Only what had no shared part to read tells how fast the engine reads: whether it had to read one is a guess, and
-        // where that is wrong, reading looks faster than it is.
-        if held.is_known && held.rounds <= 1.0 && tracked.seen.memory.is_some() {
-            let took = now.saturating_duration_since(held.sent);
-            model.engine.record_first_event(held.before.get() as f64, took);
+        upstream.record_prefilled(in_flight.prefill);
+        // Requests with a shared prefix are skipped: whether the prefix was cached is only an estimate, and a wrong
+        // one would make prefills look faster than they are.
+        if in_flight.is_prefill_exact
+            && in_flight.rounds <= 1.0
+            && upstream.endpoint.memory.is_some()
+        {
+            let elapsed = now.saturating_duration_since(in_flight.sent_at);
+            stats.engine.record_first_event(in_flight.queued_prefill.get() as f64, elapsed);
         }
     }
 
-    fn paced(&mut self, held: &mut Held, (since, first): (Instant, u32), now: Instant) {
-        let share = self.share;
-        let Some((tracked, model)) = held_at(&mut self.tracked, &mut self.models, held) else {
+    fn record_gap(
+        &mut self,
+        in_flight: &mut InFlight,
+        (since, first): (Instant, u32),
+        now: Instant,
+    ) {
+        let sender = self.sender;
+        let Some((upstream, stats)) = state_of(&mut self.upstreams, &mut self.services, in_flight)
+        else {
             return;
         };
-        let running = tracked.inside(model, share, now);
-        model.engine.record_gap(running, now.saturating_duration_since(held.last));
-        if held.events - first >= PACED {
-            let pause = now.saturating_duration_since(since) / (held.events - first);
-            let ratio = pause.as_secs_f64() / model.engine.speed().gap(running);
-            tracked.paced(ratio);
-            model.slowness.add(ratio);
-            held.paced = Some((now, held.events));
+        let running = upstream.total_requests(stats, sender, now);
+        stats.engine.record_gap(running, now.saturating_duration_since(in_flight.last_event));
+        if in_flight.events - first >= GAP_SAMPLES {
+            let gap = now.saturating_duration_since(since) / (in_flight.events - first);
+            let ratio = gap.as_secs_f64() / stats.engine.speed().gap(running);
+            upstream.record_slowdown(ratio);
+            stats.slowdown.add(ratio);
+            in_flight.gap_start = Some((now, in_flight.events));
         }
     }
 
-    /// It ended.
-    pub fn ended(&mut self, held: Held, outcome: Outcome, now: Instant) {
-        let Some((tracked, model)) = held_at(&mut self.tracked, &mut self.models, &held) else {
+    /// Records the end of a request.
+    pub fn record_end(&mut self, in_flight: InFlight, outcome: Outcome, now: Instant) {
+        let Some((upstream, stats)) = state_of(&mut self.upstreams, &mut self.services, &in_flight)
+        else {
             return;
         };
-        if held.paced.is_none() {
-            tracked.unread(held.reads);
+        if in_flight.gap_start.is_none() {
+            upstream.record_prefilled(in_flight.prefill);
         }
-        tracked.ended(held.memory, outcome, now);
+        upstream.record_end(in_flight.memory, outcome, now);
         if outcome != Outcome::Answered {
             return;
         }
-        model.served(now.saturating_duration_since(held.sent), held.rounds);
-        if tracked.seen.memory.is_some() {
-            model.length.record(&held.output, held.events);
+        stats.record_service_time(
+            now.saturating_duration_since(in_flight.sent_at),
+            in_flight.rounds,
+        );
+        if upstream.endpoint.memory.is_some() {
+            stats.length.record(&in_flight.output, in_flight.events);
         }
     }
 
-    /// An upstream told its load.
-    pub fn reported(&mut self, id: &id::Upstream, report: Report, now: Instant) {
-        if let Some(tracked) = self.tracked.get_mut(id) {
-            tracked.reported(report, now);
-            self.models.entry(tracked.seen.service.clone()).or_default().reported(report);
+    /// Records a load report of an upstream.
+    pub fn record_report(&mut self, id: &id::Upstream, report: Report, now: Instant) {
+        if let Some(upstream) = self.upstreams.get_mut(id) {
+            upstream.record_report(report, now);
+            self.services
+                .entry(upstream.endpoint.service.clone())
+                .or_default()
+                .record_report(report);
         }
     }
 
-    /// The engines that all VMs of the region find for the request's shared part, the first one first.
-    fn found(&self, demand: &Demand<'_>) -> Vec<id::Upstream> {
-        let Some(shared) = demand.work.shared else { return Vec::new() };
-        let named = self.holders(demand.service).map(|(id, _)| (id, id.as_str()));
-        rendezvous::top(shared.key, named, FOUND).into_iter().cloned().collect()
+    /// Returns the engines for the query's prefix by rendezvous hashing, in order of preference.
+    fn prefix_candidates(&self, query: &Query<'_>) -> Vec<id::Upstream> {
+        let Some(prefix) = query.work.prefix else { return Vec::new() };
+        let named = self.available(query.service).map(|(id, _)| (id, id.as_str()));
+        rendezvous::top(prefix.key, named, PREFIX_CANDIDATES).into_iter().cloned().collect()
     }
 
-    /// The upstreams of the service that may hold shared parts.
-    fn holders<'a>(
+    /// Iterates over the available upstreams of a service.
+    fn available<'a>(
         &'a self,
         service: &'a str,
-    ) -> impl Iterator<Item = (&'a id::Upstream, &'a Tracked)> {
-        self.tracked.iter().filter(move |(_, tracked)| {
-            tracked.seen.service == service && tracked.seen.open && !tracked.seen.silent
+    ) -> impl Iterator<Item = (&'a id::Upstream, &'a UpstreamState)> {
+        self.upstreams.iter().filter(move |(_, upstream)| {
+            upstream.endpoint.service == service
+                && upstream.endpoint.open
+                && !upstream.endpoint.silent
         })
     }
 }
 
-/// The upstream that runs a request, and what is known of its service; none where the upstream is gone or has started
-/// again, so that it knows nothing of the request.
-fn held_at<'a>(
-    tracked: &'a mut BTreeMap<id::Upstream, Tracked>,
-    models: &'a mut HashMap<String, Model>,
-    held: &Held,
-) -> Option<(&'a mut Tracked, &'a mut Model)> {
-    let tracked = tracked.get_mut(&held.id).filter(|tracked| tracked.seen.born == held.born)?;
-    let model = models.entry(tracked.seen.service.clone()).or_default();
-    Some((tracked, model))
+/// Returns the state of the upstream that runs a request, and the statistics of its service. `None` if the upstream
+/// is gone or was restarted.
+fn state_of<'a>(
+    upstreams: &'a mut BTreeMap<id::Upstream, UpstreamState>,
+    services: &'a mut HashMap<String, ServiceStats>,
+    in_flight: &InFlight,
+) -> Option<(&'a mut UpstreamState, &'a mut ServiceStats)> {
+    let upstream = upstreams
+        .get_mut(&in_flight.id)
+        .filter(|upstream| upstream.endpoint.incarnation == in_flight.incarnation)?;
+    let stats = services.entry(upstream.endpoint.service.clone()).or_default();
+    Some((upstream, stats))
 }
 
-/// A time from seconds; one that is no time is the longest.
+/// Converts seconds to a duration; invalid values yield a very long one.
 fn seconds(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX / 4)
 }
--- a/src/decide/place/cache.rs
+++ b/src/decide/place/cache.rs
@@ -1,45 +1,45 @@
-//! Which shared parts this VM has had an engine read, as a guess at what its memory holds.
+//! Estimate of an engine's prefix cache, from the prompts sent to it.
 
 use std::collections::HashMap;
 
 use tokio::time::Instant;
 
-use super::model::Shared;
+use super::service::Prefix;
 use crate::unit::Tokens;
 
-/// The part of an engine's memory that is taken to hold shared parts. The rest is running requests'.
-const PART: f64 = 0.6;
+/// The estimated fraction of an engine's memory that caches prefixes; running requests use the rest.
+const PREFIX_FRACTION: f64 = 0.6;
 
-/// Shared parts by their last use; the least recently used ones are taken to be gone first, as engines do it.
+/// Prefixes with their last use. Evicts the least recently used one first, as engines do.
 #[derive(Debug, Default)]
 pub struct Cache {
-    parts: HashMap<u64, (Tokens, Instant)>,
+    prefixes: HashMap<u64, (Tokens, Instant)>,
     total: Tokens,
 }
 
 impl Cache {
-    /// Whether the part was used there and has probably not yielded since.
-    pub fn holds(&self, shared: &Shared) -> bool {
-        self.parts.contains_key(&shared.key)
+    /// Returns whether the prefix is probably still cached.
+    pub fn contains(&self, prefix: &Prefix) -> bool {
+        self.prefixes.contains_key(&prefix.key)
     }
 
-    /// The part is used there.
-    pub fn used(&mut self, shared: Shared, memory: Tokens, now: Instant) {
-        let last = self.parts.insert(shared.key, (shared.tokens, now));
-        self.total += shared.tokens;
+    /// Records a use of the prefix, and evicts others if the cache of an engine with that memory is full.
+    pub fn record_use(&mut self, prefix: Prefix, memory: Tokens, now: Instant) {
+        let last = self.prefixes.insert(prefix.key, (prefix.tokens, now));
+        self.total += prefix.tokens;
         if let Some((tokens, _)) = last {
             self.total = self.total.saturating_sub(tokens);
         }
-        let room = Tokens::new((memory.get() as f64 * PART) as u64);
-        while self.total > room && self.parts.len() > 1 {
-            self.drop_oldest();
+        let capacity = Tokens::new((memory.get() as f64 * PREFIX_FRACTION) as u64);
+        while self.total > capacity && self.prefixes.len() > 1 {
+            self.evict_oldest();
         }
     }
 
-    fn drop_oldest(&mut self) {
-        let oldest = self.parts.iter().min_by_key(|(_, (_, used))| *used);
+    fn evict_oldest(&mut self) {
+        let oldest = self.prefixes.iter().min_by_key(|(_, (_, last_use))| *last_use);
         let Some((&key, &(tokens, _))) = oldest else { return };
-        self.parts.remove(&key);
+        self.prefixes.remove(&key);
         self.total = self.total.saturating_sub(tokens);
     }
 }
--- a/src/decide/place/cold.rs
+++ b/src/decide/place/cold.rs
@@ -1,13 +1,11 @@
-//! Pacing what a cold upstream gets.
+//! Rate limit for cold upstreams, coordinated among VMs without messages.
 //!
-//! Load pattern: an upstream starts, or comes back after an outage, while its service is under load; all VMs find it
-//! idle at the same moment. Without a pace it gets more in its first second than it bears and crashes, again and again.
-//! Nor is it enough that each VM keeps to its part of the rate: where twenty-six VMs may send it 6.7 requests a second in
-//! all, each sends its first one at once, and that makes twenty-six.
+//! Load pattern: an upstream starts or recovers while its service is under load, and all VMs find it idle at once.
+//! Without a limit it receives more than it can handle in the first second and crashes repeatedly. A limit per VM is
+//! not enough: if 26 VMs may send 6.7 requests a second in total, they still send 26 at once.
 //!
-//! So the VMs take turns: each has one turn in a round, in which it may send one request, and turns begin one after the
-//! other. They are counted back from the moment at which the upstream is no longer cold, which all VMs know alike, so that
-//! no message is needed.
+//! Therefore each VM has one turn per round, in which it may send one request. Turns start one after the other, and
+//! are computed backwards from the end of the cold period, which all VMs know.
 
 use std::time::Duration;
 
@@ -15,64 +13,64 @@
 
 use crate::unit::Rate;
 
-/// A turn that was not taken is over after this, so that the unused ones of many VMs don't end in one burst. In any second
-/// those turns that began in the last 1.4 s may be taken, which is less than half as many again as the rate allows.
-const TURN: Duration = Duration::from_millis(400);
+/// How long an unused turn remains valid. It bounds bursts: turns that began in the last 1.4 s can be used within one
+/// second, which is less than 1.5 times the rate.
+const TURN_VALIDITY: Duration = Duration::from_millis(400);
 
-/// This VM's place among those that send to the upstreams of its region.
+/// This VM's rank among the VMs that send to the upstreams of its region.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Share {
-    senders: u32,
+pub struct Sender {
+    count: u32,
     rank: u32,
 }
 
-impl Share {
-    /// The place of that rank, from 0, among so many VMs.
-    pub fn new(rank: u32, senders: u32) -> Self {
-        Self { senders: senders.max(1), rank }
+impl Sender {
+    /// Creates a sender of the given rank, counted from 0, among `count` VMs.
+    pub fn new(rank: u32, count: u32) -> Self {
+        Self { count: count.max(1), rank }
     }
 
-    /// How many VMs send.
-    pub const fn senders(self) -> u32 {
-        self.senders
+    /// Returns the number of VMs that send.
+    pub const fn count(self) -> u32 {
+        self.count
     }
 }
 
-/// An upstream that is cold.
+/// The rate limit of a cold upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Cold {
-    /// Until when.
+    /// The end of the cold period.
     pub until: Instant,
-    /// How many requests it bears until then, of all VMs.
+    /// The rate limit over all VMs.
     pub rate: Rate,
 }
 
-/// The turns that this VM has taken.
+/// Tracks the turns that this VM has used.
 #[derive(Debug, Default)]
-pub struct Pace {
-    taken: Option<u64>,
+pub struct Pacer {
+    last_round: Option<u64>,
 }
 
-impl Pace {
-    /// Whether a request may go now.
-    pub fn allows(&self, cold: &Cold, share: Share, now: Instant) -> bool {
-        let (round, begun) = turn(cold, share, now);
-        begun <= TURN && self.taken != Some(round)
+impl Pacer {
+    /// Returns whether a request may be sent now.
+    pub fn allows(&self, cold: &Cold, sender: Sender, now: Instant) -> bool {
+        let (round, elapsed) = turn(cold, sender, now);
+        elapsed <= TURN_VALIDITY && self.last_round != Some(round)
     }
 
-    /// A request goes.
-    pub fn went(&mut self, cold: &Cold, share: Share, now: Instant) {
-        self.taken = Some(turn(cold, share, now).0);
+    /// Records that a request was sent.
+    pub fn record(&mut self, cold: &Cold, sender: Sender, now: Instant) {
+        self.last_round = Some(turn(cold, sender, now).0);
     }
 }
 
-/// This VM's present round, counted back from the end, and how long ago its turn in it began.
-fn turn(cold: &Cold, share: Share, now: Instant) -> (u64, Duration) {
+/// Returns the index of this VM's current round, counted backwards from the end, and the time since its turn began.
+fn turn(cold: &Cold, sender: Sender, now: Instant) -> (u64, Duration) {
     let gap = 1.0 / cold.rate.get();
-    let round = gap * f64::from(share.senders);
-    let left = cold.until.saturating_duration_since(now).as_secs_f64();
-    let from_end = left + gap * f64::from(share.rank);
+    let round = gap * f64::from(sender.count);
+    let remaining = cold.until.saturating_duration_since(now).as_secs_f64();
+    let from_end = remaining + gap * f64::from(sender.rank);
     let index = (from_end / round).floor();
-    let begun = round * (index + 1.0) - from_end;
-    (index as u64, Duration::try_from_secs_f64(begun).unwrap_or(Duration::MAX))
+    let elapsed = round * (index + 1.0) - from_end;
+    (index as u64, Duration::try_from_secs_f64(elapsed).unwrap_or(Duration::MAX))
 }
--- a/src/decide/place/cost.rs
+++ b/src/decide/place/cost.rs
@@ -1,88 +1,93 @@
-//! What it costs all callers that a request runs at an engine.
+//! Cost model: the total cost to all callers of running a request on an engine.
 //!
-//! **Load pattern.** Streams fill the engines of the regions at their peak, while others idle; beside them prompts are
-//! read that make each step of all streams longer.
+//! **Load pattern.** At the peak of a region, streams fill its engines while engines elsewhere idle. Prefills
+//! lengthen each decoding step of all streams.
 //!
-//! **Without it.** A request is sent where it begins soonest. That is the same at an engine that runs 130 requests and at
-//! one that runs four, though in the first its answer takes four times as long, and each stream beside it gets longer.
+//! **Without it.** Requests go where they start first. An engine with 130 running requests may start one as soon as
+//! an engine with four, but takes four times as long to complete it and slows down all others.
 //!
-//! **One measure.** All is counted as time that requests are in flight: the own request's to its end, and what it adds to
-//! those that run beside it. A request in flight is lost when its engine, its VM or the line to its caller fails, and the
-//! sooner the longer it is in flight. So the time is what callers lose, and an answer that would not come at all weighs as
-//! the time in which it would be lost surely.
+//! **Unit.** Cost is measured as time in flight: that of the request until its end, plus the time that it adds to the
+//! requests beside it. A request in flight is lost if its engine, its VM or a connection fails, so the expected loss
+//! grows with this time. A lost answer is weighted as an equivalent time.
 
 use std::time::Duration;
 
-use super::model::Usual;
+use super::service::Profile;
 
-/// The weight of an answer that is lost, as time in flight.
-pub const LOST: Duration = Duration::from_secs(20);
+/// The cost of a lost answer, as time in flight.
+pub const LOST_ANSWER: Duration = Duration::from_secs(20);
 
-/// The weight of a refusal where engines are busy, whose caller comes back.
-const REFUSED: Duration = Duration::from_secs(4);
+/// The cost of a rejected request at high utilization; its caller retries.
+const MIN_REFUSAL: Duration = Duration::from_secs(4);
 
-/// Engines are busy while this share of their slots is taken. The fewer are, the more a refusal weighs: where they idle, as
-/// much as a lost answer.
-const BUSY: f64 = 0.5;
+/// The utilization from which a rejection has its minimum cost. At lower utilization the cost rises, up to that of a
+/// lost answer.
+const BUSY_UTILIZATION: f64 = 0.5;
 
-/// What reading a thousand tokens again weighs besides the time that it takes the engine: other parts yield their memory,
-/// and are read again in their turn, in engines that are full by then.
-const PER_KILOTOKEN: f64 = 0.5;
+/// The cost in seconds of recomputing 1,000 prefix tokens, in addition to the prefill time: other prefixes are
+/// evicted from the cache and recomputed later.
+const EVICTION_PER_KILOTOKEN: f64 = 0.5;
 
-/// A request at an engine, as it stands.
+/// The conditions under which a request would run on an engine.
 #[derive(Debug, Clone, Copy)]
-pub struct Case {
-    /// Seconds until the first event, all that is read before it included.
-    pub first: f64,
-    /// Tokens that the engine reads of it.
-    pub reads: f64,
-    /// Of these, the ones that another engine holds. Other parts yield their memory to them, and are read again later.
-    pub again: f64,
-    /// The events that its answer will have.
+pub struct Conditions {
+    /// Seconds to the first event, queued prefills included.
+    pub first_event: f64,
+    /// Tokens of the prompt that are to be prefilled.
+    pub prefill: f64,
+    /// Tokens of the prefix that are to be prefilled although another engine has them cached. They evict other
+    /// prefixes.
+    pub uncached: f64,
+    /// The expected number of events of the answer.
     pub events: f64,
-    /// The requests that run beside it.
+    /// The number of requests that run on the engine.
     pub running: f64,
-    /// How much longer its pauses are than those of its like while these read nothing.
-    pub slowness: f64,
+    /// The ratio of the gaps between events to the gaps without prefills.
+    pub slowdown: f64,
 }
 
-/// What is expected of it.
+/// The estimated latency and cost of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Estimate {
     /// Seconds to the first event.
-    pub first: f64,
+    pub first_event: f64,
     /// Seconds to the last event.
-    pub whole: f64,
-    /// Its cost to all callers, in seconds in flight.
+    pub last_event: f64,
+    /// The cost to all callers, in seconds in flight.
     pub cost: f64,
 }
 
-/// The weight of a refusal, in seconds, where that share of the engines' slots is taken as a rule.
+/// Returns the cost of a rejection, in seconds, at the given utilization of the engines.
 ///
-/// Failure: engines are full at a region's peak. At the weight of a lost answer, a prompt that its own engine has no time for
-/// goes to another one that must read all of it, in the time of several prompts whose shared part is there; these are late or
-/// refused in their turn, and have their parts read elsewhere. Beside idle engines, though, nobody is to be refused.
-pub fn refusal(taken: f64) -> f64 {
-    let busy = (taken / BUSY).clamp(0.0, 1.0);
-    let (least, most) = (REFUSED.as_secs_f64(), LOST.as_secs_f64());
-    most + (least - most) * busy
+/// Failure: at peak load, a rejection as expensive as a lost answer sends prompts to engines without their prefix.
+/// The prefill delays other prompts, whose prefixes are then recomputed elsewhere in turn. With idle engines,
+/// requests should not be rejected at all.
+pub fn refusal(utilization: f64) -> f64 {
+    let busy = (utilization / BUSY_UTILIZATION).clamp(0.0, 1.0);
+    let (min, max) = (MIN_REFUSAL.as_secs_f64(), LOST_ANSWER.as_secs_f64());
+    max + (min - max) * busy
 }
 
-impl Case {
-    /// The times and the cost. Where its first event would take longer than the longest wait, it would be refused.
+impl Conditions {
+    /// Estimates latency and cost. Includes the cost of a rejection if the first event would take longer than
+    /// `max_wait`.
     ///
-    /// Failure: many ask for one part at once, and the engine that holds it falls behind. At the price of reading it again, the
-    /// others would idle while all further requests were refused. The weight does not rise before the limit: that would move
-    /// parts away from engines that would have been in time.
-    pub fn estimate(&self, usual: &Usual, longest: Duration) -> Estimate {
-        let speed = &usual.speed;
-        let stream = self.events * speed.gap(self.running + 1.0) * self.slowness;
-        let whole = self.first + stream;
-        let longer = self.events * speed.gap_per_request() * self.slowness;
-        let beside = self.running * (longer + speed.prefill(self.reads));
-        let evicted = self.again / 1000.0 * PER_KILOTOKEN;
-        let is_refused = self.first > longest.as_secs_f64();
-        let refusal = if is_refused { refusal(usual.taken) } else { 0.0 };
-        Estimate { first: self.first, whole, cost: whole + beside + evicted + refusal }
+    /// Failure: many requests for one prefix overload the engine that caches it. Without the cost of a rejection, all
+    /// further ones are rejected while other engines idle. The cost is not raised below the limit, since that would
+    /// move prefixes away from engines that still meet it.
+    pub fn estimate(&self, profile: &Profile, max_wait: Duration) -> Estimate {
+        let speed = &profile.speed;
+        let stream = self.events * speed.gap(self.running + 1.0) * self.slowdown;
+        let last_event = self.first_event + stream;
+        let lengthening = self.events * speed.gap_per_request() * self.slowdown;
+        let others = self.running * (lengthening + speed.prefill(self.prefill));
+        let eviction = self.uncached / 1000.0 * EVICTION_PER_KILOTOKEN;
+        let is_refused = self.first_event > max_wait.as_secs_f64();
+        let refusal = if is_refused { refusal(profile.utilization) } else { 0.0 };
+        Estimate {
+            first_event: self.first_event,
+            last_event,
+            cost: last_event + others + eviction + refusal,
+        }
     }
 }
--- /dev/null
+++ b/src/decide/place/decision.rs
@@ -0,0 +1,139 @@
+//! Evaluation of the candidates for one request.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use rand::Rng;
+use tokio::time::Instant;
+
+use super::Placement;
+use super::Query;
+use super::cold::Sender;
+use super::sample;
+use super::sample::Candidate;
+use super::seconds;
+use super::service::Profile;
+use super::service::ServiceStats;
+use super::upstream::CacheState;
+use super::upstream::UpstreamState;
+use crate::id;
+
+/// The range of the random addend that breaks ties; otherwise all VMs choose the same upstream between two load
+/// reports.
+const JITTER: Duration = Duration::from_millis(4);
+
+/// The same, as a fraction of the cost, about as large as the error from outdated load data.
+const JITTER_FRACTION: f64 = 0.03;
+
+/// The request, the statistics of its service and the identity of the sender.
+pub struct Decision<'a> {
+    query: &'a Query<'a>,
+    stats: &'a ServiceStats,
+    profile: Profile,
+    sender: Sender,
+    now: Instant,
+    /// The expected number of unreported requests from other VMs per upstream.
+    unreported: f64,
+    /// The engines for the query's prefix by rendezvous hashing, in order of preference.
+    prefix_candidates: Vec<id::Upstream>,
+    /// Whether load data is shared among VMs and an engine has the prefix cached.
+    is_cached: bool,
+}
+
+impl<'a> Decision<'a> {
+    /// Creates a decision without prefix candidates.
+    pub fn new(
+        query: &'a Query<'a>,
+        (stats, profile): (&'a ServiceStats, Profile),
+        sender: Sender,
+        now: Instant,
+    ) -> Self {
+        let (unreported, prefix_candidates, is_cached) = (0.0, Vec::new(), false);
+        Self { query, stats, profile, sender, now, unreported, prefix_candidates, is_cached }
+    }
+
+    /// Returns the upstreams that accept the request: the healthy ones or, if there are none, the unhealthy ones.
+    pub fn candidates<'t>(
+        &mut self,
+        upstreams: &'t BTreeMap<id::Upstream, UpstreamState>,
+    ) -> Vec<Candidate<'t>> {
+        let replicas = || {
+            upstreams.iter().filter(|(_, upstream)| upstream.endpoint.service == self.query.service)
+        };
+        self.unreported = sample::unreported(replicas().count(), self.stats, self.sender, self.now);
+        let mut candidates = Vec::new();
+        for is_fallback in [false, true] {
+            candidates.extend(replicas().filter(|(id, upstream)| {
+                !self.query.tried.contains(id)
+                    && upstream.accepts(&self.profile.speed, is_fallback, self.sender, self.now)
+            }));
+            if !candidates.is_empty() {
+                break;
+            }
+        }
+        candidates
+    }
+
+    /// Adds the engines for the prefix.
+    #[must_use]
+    pub fn with_prefix_candidates(
+        self,
+        prefix_candidates: Vec<id::Upstream>,
+        candidates: &[Candidate<'_>],
+    ) -> Self {
+        let is_cached = candidates
+            .iter()
+            .any(|(_, upstream)| upstream.has_peer_load(self.now) && self.is_holder(upstream));
+        Self { prefix_candidates, is_cached, ..self }
+    }
+
+    /// Moves the candidates to compare to the front, and returns their number.
+    pub fn sample(&self, candidates: &mut [Candidate<'_>], rng: &mut impl Rng) -> usize {
+        let count = sample::size(candidates, self.unreported, self.now);
+        sample::draw(candidates, count, rng, |(id, upstream)| {
+            self.is_holder(upstream) || self.prefix_candidates.contains(id)
+        })
+    }
+
+    /// Evaluates an upstream. `random`, between zero and one, breaks ties.
+    pub fn evaluate(&self, id: &id::Upstream, upstream: &UpstreamState, random: f64) -> Placement {
+        let uncached = upstream.uncached_prefix(&self.query.work, self.cache_state(id));
+        let conditions = upstream.conditions(
+            self.stats,
+            &self.profile,
+            self.query,
+            uncached,
+            self.sender,
+            self.now,
+        );
+        let estimate = conditions.estimate(&self.profile, self.query.max_wait);
+        let cost = seconds(estimate.cost * (1.0 + JITTER_FRACTION * random))
+            + upstream.penalty(self.now)
+            + JITTER.mul_f64(random);
+        let prefill = uncached + self.query.work.suffix;
+        Placement {
+            id: id.clone(),
+            address: upstream.endpoint.address,
+            first_event: seconds(estimate.first_event),
+            last_event: seconds(estimate.last_event),
+            cost,
+            prefill,
+            running: conditions.running.round() as u32,
+            load_age: upstream.load_age(self.now),
+            queued_prefill: upstream.backlog(self.stats, self.sender, self.now) + prefill,
+        }
+    }
+
+    fn is_holder(&self, upstream: &UpstreamState) -> bool {
+        self.query.work.prefix.is_some_and(|prefix| upstream.has_cached(&prefix))
+    }
+
+    fn cache_state(&self, id: &id::Upstream) -> CacheState {
+        match self.prefix_candidates.iter().position(|candidate| candidate == id) {
+            // If the VMs know of an engine with the prefix cached, no other is assumed to have it.
+            Some(0) if self.query.holds_prefix && !self.is_cached => CacheState::Cached,
+            Some(_) => CacheState::MaybeCached,
+            None => CacheState::Unknown,
+        }
+    }
+}
--- a/src/decide/place/health.rs
+++ b/src/decide/place/health.rs
@@ -1,11 +1,10 @@
-//! Whether an upstream answers, by what its answers show.
+//! Passive health checks: detects failing upstreams from the outcomes of requests.
 //!
-//! Load pattern: an upstream fails half of its requests at once, or resets them, while its health checks are good. It
-//! is always the least loaded one, and draws the traffic into failing. Another crashes and refuses connections for some
-//! seconds, and is back with an empty cache.
+//! Load pattern: an upstream fails half of its requests although its active health checks succeed. Since failures
+//! free its slots at once, it is always the least loaded one and attracts traffic. Another upstream crashes, refuses
+//! connections for some seconds and returns with an empty cache.
 //!
-//! An engine that fails is free at once, and so looks better than those that work: engines that answer each request with an
-//! error would get most of the traffic. So what a failure costs is on the scale of [`super::cost`].
+//! The penalty for failures uses the scale of [`super::cost`], so that it outweighs the apparent idleness.
 
 use std::time::Duration;
 
@@ -14,56 +13,56 @@
 use super::cost;
 use crate::decide::route::Ewma;
 
-/// The price of a certain failure at a plain service, as a wait: what a caller loses who has to come back. A failing share
-/// of a third thus outweighs a trip to another region and back. Some errors come from the request itself, whoever runs it.
+/// The penalty for a certain failure of a plain service: the time a caller loses by a retry. A failure rate of one
+/// third outweighs the round trip to another region. Some errors are caused by the request itself.
 const PLAIN_FAILURE: Duration = Duration::from_millis(500);
 
-/// The record fades with this time: an upstream that is mended is back within seconds, with nobody watching.
-const FADE: Duration = Duration::from_secs(4);
+/// The time constant of the exponential decay of outcomes; a recovered upstream gets traffic again within seconds.
+const DECAY_TIME: Duration = Duration::from_secs(4);
 
-/// After a connection that did not come about, an upstream is left alone for so long; it doubles each time.
-const FIRST: Duration = Duration::from_millis(300);
+/// The initial backoff after a failed connection attempt; doubles with each further one.
+const MIN_BACKOFF: Duration = Duration::from_millis(300);
 
-/// The longest that it is left alone.
-const LONGEST: Duration = Duration::from_secs(3);
+/// The maximum backoff.
+const MAX_BACKOFF: Duration = Duration::from_secs(3);
 
-/// How a request at an upstream ended.
+/// The outcome of a request on an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// With a whole answer.
+    /// The answer was complete.
     Answered,
-    /// The upstream refused it and did not run it.
+    /// The upstream rejected the request without running it.
     Refused,
-    /// No connection came about, so nothing was sent.
+    /// No connection could be established, so nothing was sent.
     Unreachable,
-    /// It broke off, or its answer was wrong or did not come.
+    /// The answer was interrupted, invalid or missing.
     Failed,
-    /// The upstream's own error.
+    /// The upstream returned an error.
     Error,
-    /// The caller left, or another attempt was faster; it says nothing of the upstream.
+    /// The caller disconnected or another attempt was faster; not counted for or against the upstream.
     Abandoned,
 }
 
-/// From so many answers of all VMs on, their share of failures counts and not the own one: a VM that has had two answers of
-/// an upstream would take one failure for half of all.
-const ENOUGH: f64 = 8.0;
+/// The minimum number of outcomes over all VMs for their failure rate to be used. Below it, a single failure would
+/// weigh too much.
+const MIN_OUTCOMES: f64 = 8.0;
 
-/// Failures and good answers of late, each fading with [`FADE`].
+/// Recent outcomes, decayed by [`DECAY_TIME`].
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Evidence {
-    /// Requests that ended well.
+pub struct OutcomeCounts {
+    /// Successful requests.
     pub answered: f64,
-    /// Requests that failed.
+    /// Failed requests.
     pub failed: f64,
 }
 
-impl Evidence {
-    fn aged(self, age: Duration) -> Self {
-        let fresh = fresh(age);
-        Self { answered: self.answered * fresh, failed: self.failed * fresh }
+impl OutcomeCounts {
+    fn decayed(self, age: Duration) -> Self {
+        let factor = decay(age);
+        Self { answered: self.answered * factor, failed: self.failed * factor }
     }
 
-    fn with(self, other: Self) -> Self {
+    fn plus(self, other: Self) -> Self {
         Self { answered: self.answered + other.answered, failed: self.failed + other.failed }
     }
 
@@ -72,73 +71,74 @@
     }
 }
 
-/// What is left of a record after that time.
-fn fresh(age: Duration) -> f64 {
-    (-age.as_secs_f64() / FADE.as_secs_f64()).exp()
+/// Returns the decay factor for an age.
+fn decay(age: Duration) -> f64 {
+    (-age.as_secs_f64() / DECAY_TIME.as_secs_f64()).exp()
 }
 
-/// The record of one upstream.
+/// The outcome history of one upstream.
 #[derive(Debug, Default)]
 pub struct Health {
-    failing: Ewma,
+    failure_rate: Ewma,
     last: Option<Instant>,
-    evidence: Evidence,
+    counts: OutcomeCounts,
     unreachable: u32,
-    away_until: Option<Instant>,
+    backoff_until: Option<Instant>,
 }
 
 impl Health {
-    /// Takes an outcome.
-    pub fn take(&mut self, outcome: Outcome, now: Instant) {
+    /// Records the outcome of a request.
+    pub fn record(&mut self, outcome: Outcome, now: Instant) {
         match outcome {
-            Outcome::Answered => self.note(0.0, now),
-            Outcome::Failed | Outcome::Error => self.note(1.0, now),
+            Outcome::Answered => self.record_result(0.0, now),
+            Outcome::Failed | Outcome::Error => self.record_result(1.0, now),
             Outcome::Unreachable => {
-                self.note(1.0, now);
-                let pause = FIRST.saturating_mul(1 << self.unreachable.min(4)).min(LONGEST);
+                self.record_result(1.0, now);
+                let backoff =
+                    MIN_BACKOFF.saturating_mul(1 << self.unreachable.min(4)).min(MAX_BACKOFF);
                 self.unreachable += 1;
-                self.away_until = Some(now + pause);
+                self.backoff_until = Some(now + backoff);
             }
             Outcome::Refused | Outcome::Abandoned => (),
         }
         if matches!(outcome, Outcome::Answered | Outcome::Refused | Outcome::Error) {
             self.unreachable = 0;
-            self.away_until = None;
+            self.backoff_until = None;
         }
     }
 
-    /// Whether it is left alone now.
-    pub fn is_away(&self, now: Instant) -> bool {
-        self.away_until.is_some_and(|until| now < until)
+    /// Returns whether the upstream is in backoff after failed connection attempts.
+    pub fn is_backing_off(&self, now: Instant) -> bool {
+        self.backoff_until.is_some_and(|until| now < until)
     }
 
-    /// What this VM saw of late.
-    pub fn evidence(&self, now: Instant) -> Evidence {
-        self.evidence.aged(self.age(now))
+    /// Returns the outcomes that this VM observed recently.
+    pub fn counts(&self, now: Instant) -> OutcomeCounts {
+        self.counts.decayed(self.age(now))
     }
 
-    /// What its failures cost, as a wait, beside what other VMs of the region saw of it.
-    pub fn penalty(&self, is_engine: bool, others: Evidence, now: Instant) -> Duration {
-        let all = self.evidence(now).with(others);
-        let (share, weight) = if all.total() >= ENOUGH {
+    /// Returns the penalty for failures, as a wait, given the outcomes that the region's other VMs observed.
+    pub fn penalty(&self, is_engine: bool, others: OutcomeCounts, now: Instant) -> Duration {
+        let all = self.counts(now).plus(others);
+        let (rate, weight) = if all.total() >= MIN_OUTCOMES {
             (all.failed / all.total(), 1.0)
         } else {
-            (self.failing.get().unwrap_or(0.0), fresh(self.age(now)))
+            (self.failure_rate.get().unwrap_or(0.0), decay(self.age(now)))
         };
-        // A single failure among ten answers is chance as a rule. If an engine were left alone for it, its part of the load
-        // would fall on the others: at the peak, one of eight engines of a region stood idle for ten seconds.
-        let failure = if is_engine { cost::LOST.mul_f64(share) } else { PLAIN_FAILURE };
-        failure.mul_f64(share * weight)
+        // The penalty of engines is quadratic in the failure rate, since a single failure among ten answers is mostly
+        // chance. An engine that is avoided for it shifts its load to the others, which overloads them at the peak.
+        let failure = if is_engine { cost::LOST_ANSWER.mul_f64(rate) } else { PLAIN_FAILURE };
+        failure.mul_f64(rate * weight)
     }
 
     fn age(&self, now: Instant) -> Duration {
         self.last.map_or(Duration::ZERO, |last| now.saturating_duration_since(last))
     }
 
-    fn note(&mut self, failure: f64, now: Instant) {
-        let before = self.evidence(now);
-        self.evidence = before.with(Evidence { answered: 1.0 - failure, failed: failure });
-        self.failing.add(failure);
+    fn record_result(&mut self, failure: f64, now: Instant) {
+        let before = self.counts(now);
+        self.counts = before.plus(OutcomeCounts { answered: 1.0 - failure, failed: failure });
+        self.failure_rate.add(failure);
         self.last = Some(now);
     }
 }
--- a/src/decide/place/regions.rs
+++ b/src/decide/place/regions.rs
@@ -1,20 +1,18 @@
-//! Whether a request is better served in another region.
+//! Decides whether to forward a request to another region.
 //!
-//! Load pattern: each region has its peak at another hour, and a small one can't serve its own. Without help its callers
-//! are refused beside idle engines elsewhere; with too ready help the narrow lines between regions carry prompts that
-//! were better read at home, and all VMs of a region run to the same other one at once.
+//! Load pattern: regions peak at different hours, and a small one cannot serve its own peak. Without forwarding,
+//! requests are rejected while engines elsewhere idle. If requests are forwarded too readily, inter-region bandwidth
+//! is wasted on prompts better served locally, and all VMs of a region pick the same target.
 //!
-//! A shared part of a prompt is asked for in all regions, by turns. Kept by each region for itself, it is read in each of
-//! them, and most prompt work is reading again. So one region holds it, found by rendezvous among the engines of all regions:
-//! a prompt's body crosses a line more cheaply than its shared part is read again, and the peak of one region spreads over
-//! the engines of all.
+//! All regions use the same prefixes. If each region cached its own copy, most prefill work would be redundant. So
+//! each prefix is assigned to one region by rendezvous hashing over the engines of all regions: transferring a prompt
+//! costs less than recomputing its prefix, and the peak of one region is spread over all.
 //!
-//! Streams fill the engines of a region at its peak, and each gets slower, while engines elsewhere run a few. The first event
-//! comes soon in both, so compared by that alone they would be equal, and long streams would outlive their callers. So regions
-//! are compared by the cost to all callers, as engines are.
+//! Regions are compared by the cost to all callers, as engines are. By the time to the first event alone, a region
+//! with full batches would look as good as one with a few streams, and long streams would exceed their deadlines.
 //!
-//! A region tells its outlook (the expected time to the first event, and the requests that run in its best engine) with each
-//! answer that it gives to another, and the VMs of a region tell each other; an outlook that is old doesn't count.
+//! A region sends its outlook (the expected time to the first event and the number of requests on its best engine)
+//! with each answer to another region; the VMs of a region exchange outlooks, and stale ones are ignored.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -22,110 +20,110 @@
 
 use tokio::time::Instant;
 
-use super::cost::Case;
-use super::health::Evidence;
+use super::cost::Conditions;
 use super::health::Health;
 use super::health::Outcome;
-use super::model::Shared;
-use super::model::Usual;
-use super::model::Work;
+use super::health::OutcomeCounts;
 use super::seconds;
+use super::service::Prefix;
+use super::service::Profile;
+use super::service::Work;
 use crate::decide::route::rendezvous;
 use crate::decide::sharing::Remote;
 use crate::id;
 use crate::unit::Tokens;
 
-/// A trip to another region and back.
-const TRIP: Duration = Duration::from_millis(110);
-/// What a request must gain besides: bytes between regions are dear, and the other region has callers of its own.
-const PRICE: Duration = Duration::from_millis(150);
-/// What a thousand bytes between regions weigh, in seconds in flight: by what operators pay for a GB between regions against
-/// what a lost request costs them, 33 kB are as dear as a request that is in flight for one second more.
-const PER_KILOBYTE: f64 = 0.03;
-/// The bytes of an event and its share of heads.
+/// The round-trip time to another region.
+const ROUND_TRIP: Duration = Duration::from_millis(110);
+/// The minimum gain of forwarding, for the bandwidth and for the load on the other region.
+const FORWARDING_COST: Duration = Duration::from_millis(150);
+/// The cost of 1,000 bytes of inter-region traffic in seconds in flight: 33 kB cost as much as one second more in
+/// flight.
+const COST_PER_KILOBYTE: f64 = 0.03;
+/// The size of an event, with its share of the headers.
 const EVENT_KILOBYTES: f64 = 0.1;
-/// What is expected of a region that has told nothing for long.
-const UNKNOWN: Duration = Duration::from_millis(80);
-/// An outlook counts for so long; regions fill and empty within seconds.
-const OUTLOOK_TIME: Duration = Duration::from_secs(2);
+/// The wait assumed for a region without a current outlook.
+const DEFAULT_WAIT: Duration = Duration::from_millis(80);
+/// How long an outlook is valid; regions fill up and drain within seconds.
+const OUTLOOK_TTL: Duration = Duration::from_secs(2);
 
 #[derive(Debug, Default)]
 struct Other {
-    /// For urgent requests, and for others.
+    /// The outlooks for requests that are not urgent and for urgent ones.
     outlooks: [Option<(Outlook, Instant)>; 2],
     health: Health,
 }
 
-/// How a usual request would fare in a region.
+/// The latency of a typical request in a region.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Outlook {
-    /// The time to its first event.
+    /// The time to the first event.
     pub wait: Duration,
-    /// The requests that run in the engine that it would go to.
+    /// The number of requests on the engine that it would run on.
     pub running: u32,
 }
 
-/// The upstreams that take requests, by region.
-pub type Open = BTreeMap<id::Region, Vec<id::Upstream>>;
+/// The upstreams that accept requests, by region.
+pub type OpenUpstreams = BTreeMap<id::Region, Vec<id::Upstream>>;
 
-/// What is known of other regions, by service.
+/// The state of other regions, by service.
 #[derive(Debug, Default)]
 pub struct Regions {
     others: HashMap<(id::Region, String), Other>,
-    /// What was told and not passed on to the other VMs of the region.
-    news: BTreeMap<(id::Region, String, bool), (Outlook, Instant)>,
-    open: HashMap<String, Open>,
+    /// Outlooks not yet sent to the other VMs of the region.
+    unsent: BTreeMap<(id::Region, String, bool), (Outlook, Instant)>,
+    open: HashMap<String, OpenUpstreams>,
 }
 
-/// A request that looks for a region.
+/// The requirements of a request that needs a region.
 #[derive(Clone, Copy)]
-pub struct Passage<'a> {
-    /// The service.
+pub struct RegionQuery<'a> {
+    /// The name of the service.
     pub service: &'a str,
-    /// What it asks of an engine.
+    /// The work for an engine.
     pub work: Work,
-    /// Whether no other request to the service goes before it.
+    /// Whether the request has the highest priority of the service.
     pub urgent: bool,
-    /// The bytes of its body.
+    /// The size of the request body.
     pub bytes: usize,
-    /// The longest that it may be expected to wait for its first event; beyond it, it is refused.
-    pub longest: Duration,
-    /// Whether a region may serve it.
+    /// The maximum expected time to the first event; above it, the request is rejected.
+    pub max_wait: Duration,
+    /// Returns whether a region may serve the request.
     pub allows: &'a dyn Fn(&id::Region) -> bool,
 }
 
-/// The region whose engine holds the shared part of a prompt.
+/// The region whose engine caches the prefix of a prompt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Holder {
-    /// The own one.
-    Here,
-    /// Another one.
-    There(id::Region),
-    /// There is no shared part, or no engine.
-    Nobody,
+    /// This region.
+    Local,
+    /// Another region.
+    Remote(id::Region),
+    /// The prompt has no shared prefix, or there is no engine.
+    Unknown,
 }
 
 /// A region that may serve a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Offer {
+pub struct RegionCandidate {
     /// The region.
     pub region: id::Region,
     /// The expected time to the first event.
-    pub expected: Duration,
+    pub first_event: Duration,
     /// The expected time to the last event.
-    pub whole: Duration,
-    /// All that speaks against it, to compare.
+    pub last_event: Duration,
+    /// The total cost, for comparison.
     pub cost: Duration,
 }
 
 impl Regions {
-    /// Takes in which upstreams of other regions take requests, by service.
-    pub fn sync(&mut self, open: HashMap<String, Open>) {
+    /// Updates the list of upstreams that accept requests in other regions, by service.
+    pub fn sync(&mut self, open: HashMap<String, OpenUpstreams>) {
         self.open = open;
     }
 
-    /// A region told its outlook for requests of that urgency.
-    pub fn told(
+    /// Records the outlook of a region for the given urgency.
+    pub fn record_outlook(
         &mut self,
         region: &id::Region,
         (service, urgent): (&str, bool),
@@ -134,13 +132,13 @@
     ) {
         self.other(region, service).outlooks[usize::from(urgent)] = Some((outlook, now));
         let key = (region.clone(), service.to_owned(), urgent);
-        self.news.insert(key, (outlook, now));
+        self.unsent.insert(key, (outlook, now));
     }
 
-    /// What regions told this VM since this was asked last, for the other VMs of its region.
-    pub fn news(&mut self, now: Instant) -> Vec<Remote> {
-        let news = std::mem::take(&mut self.news).into_iter();
-        let news = news.map(|((region, service, urgent), (outlook, at))| Remote {
+    /// Removes and returns the outlooks received since the last call, for the other VMs of the region.
+    pub fn take_outlooks(&mut self, now: Instant) -> Vec<Remote> {
+        let unsent = std::mem::take(&mut self.unsent).into_iter();
+        let unsent = unsent.map(|((region, service, urgent), (outlook, at))| Remote {
             region,
             service,
             urgent,
@@ -148,11 +146,11 @@
             running: outlook.running,
             age: now.saturating_duration_since(at),
         });
-        news.collect()
+        unsent.collect()
     }
 
-    /// Takes what regions told the VMs of this one, on an average of late.
-    pub fn told_by_host(&mut self, remotes: &[Remote], now: Instant) {
+    /// Applies the outlooks that other VMs of the region received.
+    pub fn apply_remotes(&mut self, remotes: &[Remote], now: Instant) {
         for remote in remotes {
             let outlook = Outlook { wait: remote.wait, running: remote.running };
             let at = now.checked_sub(remote.age).unwrap_or(now);
@@ -161,89 +159,95 @@
         }
     }
 
-    /// A request that was passed on ended so.
-    pub fn ended(&mut self, region: &id::Region, service: &str, outcome: Outcome, now: Instant) {
-        self.other(region, service).health.take(outcome, now);
+    /// Records the outcome of a forwarded request.
+    pub fn record_end(
+        &mut self,
+        region: &id::Region,
+        service: &str,
+        outcome: Outcome,
+        now: Instant,
+    ) {
+        self.other(region, service).health.record(outcome, now);
     }
 
-    /// Which region holds the shared part, where this region's best engine has that weight for it.
-    pub fn holder(&self, passage: &Passage<'_>, here: Option<u64>, now: Instant) -> Holder {
-        let Some(Shared { key, .. }) = passage.work.shared else { return Holder::Nobody };
-        let others = self.reachable(passage, now).filter_map(|(region, upstreams)| {
+    /// Returns the region that caches the prefix. `here` is the highest rendezvous weight of this region's engines.
+    pub fn holder(&self, query: &RegionQuery<'_>, here: Option<u64>, now: Instant) -> Holder {
+        let Some(Prefix { key, .. }) = query.work.prefix else { return Holder::Unknown };
+        let others = self.reachable(query, now).filter_map(|(region, upstreams)| {
             let weights = upstreams.iter().map(|id| rendezvous::weight(key, id.as_str()));
             Some((weights.max()?, region))
         });
         match (others.max(), here) {
             (Some((weight, region)), here) if here.is_none_or(|here| weight > here) => {
-                Holder::There(region.clone())
+                Holder::Remote(region.clone())
             }
-            (_, Some(_)) => Holder::Here,
-            (_, None) => Holder::Nobody,
+            (_, Some(_)) => Holder::Local,
+            (_, None) => Holder::Unknown,
         }
     }
 
-    /// The other regions that may serve a request, the best one first. `spread` draws a time by which regions that are
-    /// equally good are told apart.
-    pub fn offers(
+    /// Returns the other regions that may serve a request, in order of cost. `jitter` returns a random addend that
+    /// breaks ties.
+    pub fn candidates(
         &self,
-        passage: &Passage<'_>,
+        query: &RegionQuery<'_>,
         holder: &Holder,
-        usual: &Usual,
-        mut spread: impl FnMut() -> Duration,
+        profile: &Profile,
+        mut jitter: impl FnMut() -> Duration,
         now: Instant,
-    ) -> Vec<Offer> {
-        let reachable = self.reachable(passage, now);
-        let offers = reachable.map(|(region, _)| {
-            let (outlook, penalty) = self.standing(region, passage, usual, now);
-            let holds = matches!(holder, Holder::There(there) if there == region);
-            let again = match passage.work.shared {
-                Some(shared) if !holds => shared.tokens,
+    ) -> Vec<RegionCandidate> {
+        let reachable = self.reachable(query, now);
+        let candidates = reachable.map(|(region, _)| {
+            let (outlook, penalty) = self.outlook_and_penalty(region, query, profile, now);
+            let holds = matches!(holder, Holder::Remote(there) if there == region);
+            let uncached = match query.work.prefix {
+                Some(prefix) if !holds => prefix.tokens,
                 _ => Tokens::ZERO,
             };
-            let case = case(passage, again, &outlook, usual);
-            let estimate = case.estimate(usual, passage.longest);
-            let kilobytes = passage.bytes as f64 / 1000.0 + case.events * EVENT_KILOBYTES;
-            let line = seconds(kilobytes * PER_KILOBYTE);
-            let cost = seconds(estimate.cost) + PRICE + line + penalty + spread();
-            let (expected, whole) = (seconds(estimate.first), seconds(estimate.whole));
-            Offer { region: region.clone(), expected, whole, cost }
+            let conditions = conditions(query, uncached, &outlook, profile);
+            let estimate = conditions.estimate(profile, query.max_wait);
+            let kilobytes = query.bytes as f64 / 1000.0 + conditions.events * EVENT_KILOBYTES;
+            let transfer = seconds(kilobytes * COST_PER_KILOBYTE);
+            let cost = seconds(estimate.cost) + FORWARDING_COST + transfer + penalty + jitter();
+            let (first_event, last_event) =
+                (seconds(estimate.first_event), seconds(estimate.last_event));
+            RegionCandidate { region: region.clone(), first_event, last_event, cost }
         });
-        let mut offers: Vec<Offer> = offers.collect();
-        offers.sort_by_key(|offer| offer.cost);
-        offers
+        let mut candidates: Vec<RegionCandidate> = candidates.collect();
+        candidates.sort_by_key(|candidate| candidate.cost);
+        candidates
     }
 
-    /// The regions that may serve a request and can be reached, with their upstreams.
+    /// Iterates over the regions that may serve a request and are reachable, with their upstreams.
     fn reachable<'a>(
         &'a self,
-        passage: &'a Passage<'_>,
+        query: &'a RegionQuery<'_>,
         now: Instant,
     ) -> impl Iterator<Item = (&'a id::Region, &'a Vec<id::Upstream>)> {
-        let open = self.open.get(passage.service).into_iter().flatten();
+        let open = self.open.get(query.service).into_iter().flatten();
         open.filter(move |(region, _)| {
-            let other = self.others.get(&((*region).clone(), passage.service.to_owned()));
-            (passage.allows)(region) && !other.is_some_and(|other| other.health.is_away(now))
+            let other = self.others.get(&((*region).clone(), query.service.to_owned()));
+            (query.allows)(region) && !other.is_some_and(|other| other.health.is_backing_off(now))
         })
     }
 
-    /// A region's outlook, and what its failures cost.
-    fn standing(
+    /// Returns a region's outlook and the penalty for its failures.
+    fn outlook_and_penalty(
         &self,
         region: &id::Region,
-        passage: &Passage<'_>,
-        usual: &Usual,
+        query: &RegionQuery<'_>,
+        profile: &Profile,
         now: Instant,
     ) -> (Outlook, Duration) {
-        let unknown = Outlook { wait: UNKNOWN, running: usual.running.round() as u32 };
-        let Some(other) = self.others.get(&(region.clone(), passage.service.to_owned())) else {
+        let unknown = Outlook { wait: DEFAULT_WAIT, running: profile.running.round() as u32 };
+        let Some(other) = self.others.get(&(region.clone(), query.service.to_owned())) else {
             return (unknown, Duration::ZERO);
         };
-        let fresh =
-            |(_, at): &(Outlook, Instant)| now.saturating_duration_since(*at) < OUTLOOK_TIME;
-        let told = other.outlooks[usize::from(passage.urgent)];
-        let outlook = told.filter(fresh).map_or(unknown, |(outlook, _)| outlook);
-        let is_engine = passage.work.own > Tokens::ZERO;
-        (outlook, other.health.penalty(is_engine, Evidence::default(), now))
+        let fresh = |(_, at): &(Outlook, Instant)| now.saturating_duration_since(*at) < OUTLOOK_TTL;
+        let outlook = other.outlooks[usize::from(query.urgent)];
+        let outlook = outlook.filter(fresh).map_or(unknown, |(outlook, _)| outlook);
+        let is_engine = query.work.suffix > Tokens::ZERO;
+        (outlook, other.health.penalty(is_engine, OutcomeCounts::default(), now))
     }
 
     fn other(&mut self, region: &id::Region, service: &str) -> &mut Other {
@@ -251,17 +255,22 @@
     }
 }
 
-/// How a request would fare in a region with that outlook, the way there included.
-fn case(passage: &Passage<'_>, again: Tokens, outlook: &Outlook, usual: &Usual) -> Case {
-    let reads = (passage.work.own + again).get() as f64;
-    let way = (outlook.wait + TRIP).as_secs_f64();
-    Case {
-        first: way + usual.speed.prefill(reads),
-        reads,
-        again: again.get() as f64,
-        events: usual.length.events(&passage.work.output),
+/// Returns the conditions for a request in a region with that outlook, the network delay included.
+fn conditions(
+    query: &RegionQuery<'_>,
+    uncached: Tokens,
+    outlook: &Outlook,
+    profile: &Profile,
+) -> Conditions {
+    let prefill = (query.work.suffix + uncached).get() as f64;
+    let delay = (outlook.wait + ROUND_TRIP).as_secs_f64();
+    Conditions {
+        first_event: delay + profile.speed.prefill(prefill),
+        prefill,
+        uncached: uncached.get() as f64,
+        events: profile.length.events(&query.work.output),
         running: f64::from(outlook.running),
-        slowness: usual.slowness,
+        slowdown: profile.slowdown,
     }
 }
 
--- a/src/decide/place/sample.rs
+++ b/src/decide/place/sample.rs
@@ -1,67 +1,66 @@
-//! How many upstreams a decision compares.
+//! Random sampling of the upstreams that a decision compares.
 //!
-//! Load pattern: two hundred VMs know the same loads, a fifth of a second old, and the least loaded engine is the same for all
-//! of them. Compared by each with all others, it would get all requests of that fifth of a second; it would be full when the
-//! next loads are told, and another one would be next. Compared within a few that each VM draws, an engine gets no more than
-//! a few shares of what comes.
+//! Load pattern: two hundred VMs share load data that is a fifth of a second old, and it shows all of them the same
+//! least loaded engine. If each VM compared all engines, that one would receive all requests until the next update
+//! (herd behaviour). Comparing a small random sample bounds how much one engine receives.
 
 use std::time::Duration;
 
 use rand::Rng;
 use tokio::time::Instant;
 
-use super::cold::Share;
-use super::model::Model;
-use super::tracked::Tracked;
+use super::cold::Sender;
+use super::service::ServiceStats;
+use super::upstream::UpstreamState;
 use crate::decide::sharing::ROUND;
 use crate::id;
 
-/// Two are far better than one drawn blindly, however old the loads are.
-const LEAST: usize = 2;
+/// The minimum sample size; two choices are far better than one, however old the load data.
+const MIN_SAMPLE: usize = 2;
 
-/// The requests of other VMs that the best upstream may get unseen, beyond its part of them all.
-const UNSEEN: f64 = 2.0;
+/// The maximum number of unreported requests, in excess of its even share, that the best upstream may receive.
+const MAX_UNREPORTED: f64 = 2.0;
 
-/// What is told is as old as this as a rule: a round until a host hears of it, and half of one until it tells.
-const AGE: Duration = ROUND.saturating_mul(3).checked_div(2).expect("two is not zero");
+/// The typical age of load data: one round until the host receives it, and half a round until it is sent out.
+const LOAD_AGE: Duration = ROUND.saturating_mul(3).checked_div(2).expect("two is not zero");
 
-/// A candidate.
-pub type Candidate<'a> = (&'a id::Upstream, &'a Tracked);
+/// An upstream that can run the request.
+pub type Candidate<'a> = (&'a id::Upstream, &'a UpstreamState);
 
-/// The requests of other VMs that come to each of so many upstreams before this VM is told of them.
-pub fn unseen(count: usize, model: &Model, share: Share, now: Instant) -> f64 {
-    let others = f64::from(share.senders() - 1);
-    model.rate(now) * others * AGE.as_secs_f64() / count.max(1) as f64
+/// Estimates the number of requests that other VMs send to each of `count` upstreams before this VM is informed.
+pub fn unreported(count: usize, stats: &ServiceStats, sender: Sender, now: Instant) -> f64 {
+    let others = f64::from(sender.count() - 1);
+    stats.rate(now) * others * LOAD_AGE.as_secs_f64() / count.max(1) as f64
 }
 
-/// How many of them may be compared, so that the best one isn't overrun by requests that no VM has seen.
-pub fn size(candidates: &[Candidate<'_>], unseen: f64, now: Instant) -> usize {
+/// Returns the sample size at which the best candidate is not overloaded by unreported requests.
+pub fn size(candidates: &[Candidate<'_>], unreported: f64, now: Instant) -> usize {
     let count = candidates.len();
-    let is_shared = candidates.iter().any(|(_, tracked)| tracked.is_shared(now));
-    if !is_shared || count <= LEAST {
+    let has_peer_load = candidates.iter().any(|(_, upstream)| upstream.has_peer_load(now));
+    if !has_peer_load || count <= MIN_SAMPLE {
         return count;
     }
-    let most = (UNSEEN / unseen).ceil();
-    if most < count as f64 { LEAST.max(most as usize) } else { count }
+    let max = (MAX_UNREPORTED / unreported).ceil();
+    if max < count as f64 { MIN_SAMPLE.max(max as usize) } else { count }
 }
 
-/// Brings so many of them, drawn at random, to the front, and besides those that a request has a reason to go to; counts both.
+/// Moves `count` random candidates and all preferred ones to the front, and returns the number of both.
 pub fn draw<'a>(
     candidates: &mut [Candidate<'a>],
-    most: usize,
+    count: usize,
     rng: &mut impl Rng,
-    is_wanted: impl Fn(&Candidate<'a>) -> bool,
+    is_preferred: impl Fn(&Candidate<'a>) -> bool,
 ) -> usize {
-    if most >= candidates.len() {
+    if count >= candidates.len() {
         return candidates.len();
     }
-    for nth in 0..most {
+    for nth in 0..count {
         let drawn = rng.random_range(nth..candidates.len());
         candidates.swap(nth, drawn);
     }
-    let mut front = most;
-    for nth in most..candidates.len() {
-        if is_wanted(&candidates[nth]) {
+    let mut front = count;
+    for nth in count..candidates.len() {
+        if is_preferred(&candidates[nth]) {
             candidates.swap(front, nth);
             front += 1;
         }
--- a/src/decide/place/tests.rs
+++ b/src/decide/place/tests.rs
@@ -4,15 +4,15 @@
 use rand::rngs::SmallRng;
 use tokio::time::Instant;
 
+use super::Balancer;
 use super::Cold;
-use super::Demand;
+use super::Endpoint;
 use super::Outcome;
-use super::Place;
+use super::Query;
 use super::Report;
-use super::Seen;
-use super::Share;
+use super::Sender;
 use super::Work;
-use super::model::Shared;
+use super::service::Prefix;
 use super::wait;
 use crate::decide::engine::Output;
 use crate::id;
@@ -20,14 +20,14 @@
 use crate::unit::Slots;
 use crate::unit::Tokens;
 
-fn place() -> Place {
-    Place::new(SmallRng::seed_from_u64(1))
+fn balancer() -> Balancer {
+    Balancer::new(SmallRng::seed_from_u64(1))
 }
 
-fn engine(name: &str) -> Seen {
-    Seen {
+fn engine(name: &str) -> Endpoint {
+    Endpoint {
         id: name.parse().unwrap(),
-        born: 1,
+        incarnation: 1,
         service: "s".to_owned(),
         address: ([127, 0, 0, 1], 1).into(),
         slots: Slots::new(48),
@@ -39,92 +39,90 @@
     }
 }
 
-fn briefing(key: u64) -> Work {
-    let shared = Shared { key, tokens: Tokens::new(13_300) };
+fn long_prompt(key: u64) -> Work {
+    let prefix = Prefix { key, tokens: Tokens::new(13_300) };
     Work {
-        shared: Some(shared),
-        own: Tokens::new(3_700),
+        prefix: Some(prefix),
+        suffix: Tokens::new(3_700),
         output: Output { limit: Tokens::new(120), hint: None },
     }
 }
 
-fn demand(work: Work) -> Demand<'static> {
-    let longest = Duration::from_millis(1200);
-    Demand { service: "s", work, tried: &[], holds: true, urgent: true, longest }
+fn query(work: Work) -> Query<'static> {
+    let max_wait = Duration::from_millis(1200);
+    Query { service: "s", work, tried: &[], holds_prefix: true, urgent: true, max_wait }
 }
 
-// Briefings of many seasons arrive one after the other, each ended before the next. If a season's briefings went to
-// whatever engine is free, each of them would read thirteen thousand tokens that another engine has in memory.
+// Guards against recomputing a prefix on each engine: all VMs must choose the same engine for it.
 #[tokio::test(start_paused = true)]
-async fn a_shared_part_is_read_once() {
+async fn a_prefix_is_computed_once() {
     let now = Instant::now();
-    let (mut one, mut other) = (place(), place());
+    let (mut one, mut other) = (balancer(), balancer());
     for vm in [&mut one, &mut other] {
-        vm.sync(["a", "b", "c", "d"].map(engine).to_vec(), Share::new(0, 2));
+        vm.sync(["a", "b", "c", "d"].map(engine).to_vec(), Sender::new(0, 2));
     }
     for key in 0..50 {
-        let first = one.choose(&demand(briefing(key)), now).unwrap();
-        let second = other.choose(&demand(briefing(key)), now).unwrap();
+        let first = one.choose(&query(long_prompt(key)), now).unwrap();
+        let second = other.choose(&query(long_prompt(key)), now).unwrap();
         assert_eq!(first.id, second.id);
-        let held = one.sent(&first, &briefing(key), now);
-        one.ended(held, Outcome::Answered, now);
+        let in_flight = one.record_sent(&first, &long_prompt(key), now);
+        one.record_end(in_flight, Outcome::Answered, now);
     }
 }
 
-// One season is asked for far more than all others. Its engine falls behind; the others are idle. Callers wait for
-// seconds if all of its briefings go to the one engine that has read it.
+// Guards against queueing all requests for a hot prefix on one engine while others idle.
 #[tokio::test(start_paused = true)]
-async fn a_hot_part_spreads() {
+async fn a_hot_prefix_is_replicated() {
     let now = Instant::now();
-    let mut place = place();
-    place.sync(["a", "b", "c", "d"].map(engine).to_vec(), Share::new(0, 1));
+    let mut balancer = balancer();
+    balancer.sync(["a", "b", "c", "d"].map(engine).to_vec(), Sender::new(0, 1));
     let mut waits = Vec::new();
     let mut used = std::collections::BTreeSet::new();
     for _ in 0..40 {
-        let fit = place.choose(&demand(briefing(7)), now).unwrap();
-        waits.push(fit.expected);
-        used.insert(fit.id.clone());
-        place.sent(&fit, &briefing(7), now);
+        let placement = balancer.choose(&query(long_prompt(7)), now).unwrap();
+        waits.push(placement.first_event);
+        used.insert(placement.id.clone());
+        balancer.record_sent(&placement, &long_prompt(7), now);
     }
     assert_eq!(used.len(), 4);
     assert!(waits.iter().max().unwrap() < &Duration::from_millis(1300), "{waits:?}");
 }
 
-// Many VMs find an upstream that has just started, idle. It crashes when it gets more than a few requests a second.
+// Guards against overloading an upstream that has just started: it crashes above a few requests a second.
 #[tokio::test(start_paused = true)]
 async fn a_cold_upstream_is_paced() {
     let now = Instant::now();
-    let mut place = place();
+    let mut balancer = balancer();
     let cold = Cold { until: now + Duration::from_secs(3), rate: Rate::per_second(6.0) };
-    place.sync(vec![Seen { cold: Some(cold), ..engine("a") }], Share::new(0, 3));
+    balancer.sync(vec![Endpoint { cold: Some(cold), ..engine("a") }], Sender::new(0, 3));
     let mut sent = 0;
     for millis in (0..3000).step_by(10) {
         let now = now + Duration::from_millis(millis);
-        if let Some(fit) = place.choose(&demand(Work::default()), now) {
-            place.sent(&fit, &Work::default(), now);
+        if let Some(placement) = balancer.choose(&query(Work::default()), now) {
+            balancer.record_sent(&placement, &Work::default(), now);
             sent += 1;
         }
     }
     assert_eq!(sent, 6);
 }
 
-// Twenty-six VMs find an upstream that has just started, idle, and each has requests for it all the while. Each within its
-// part of the rate, all send one in the first second, and it crashes. It must get what it bears in every second, and be of use.
+// Guards against a burst from 26 VMs that each stay below the rate limit of a cold upstream. The upstream must
+// receive close to its rate in each second.
 #[tokio::test(start_paused = true)]
 async fn many_vms_send_a_cold_upstream_what_it_bears() {
     const VMS: u32 = 26;
     const SECOND: Duration = Duration::from_secs(1);
     let now = Instant::now();
     let cold = Cold { until: now + Duration::from_secs(3), rate: Rate::per_second(6.7) };
-    let mut vms: Vec<Place> = (0..VMS).map(|_| place()).collect();
+    let mut vms: Vec<Balancer> = (0..VMS).map(|_| balancer()).collect();
     for (rank, vm) in (0..).zip(&mut vms) {
-        vm.sync(vec![Seen { cold: Some(cold), ..engine("a") }], Share::new(rank, VMS));
+        vm.sync(vec![Endpoint { cold: Some(cold), ..engine("a") }], Sender::new(rank, VMS));
     }
     let mut sent: Vec<Duration> = Vec::new();
     for at in (0..3000).step_by(5).map(Duration::from_millis) {
         for vm in &mut vms {
-            if let Some(fit) = vm.choose(&demand(Work::default()), now + at) {
-                vm.sent(&fit, &Work::default(), now + at);
+            if let Some(placement) = vm.choose(&query(Work::default()), now + at) {
+                vm.record_sent(&placement, &Work::default(), now + at);
                 sent.push(at);
             }
         }
@@ -136,59 +134,59 @@
     }
 }
 
-// An upstream crashes: connections to it are refused. It is left alone for a moment, and used again when it is back.
+// An upstream refuses connections. It must be avoided during the backoff, unless it is the only one.
 #[tokio::test(start_paused = true)]
-async fn an_unreachable_upstream_is_left_alone_for_a_moment() {
+async fn an_unreachable_upstream_is_avoided_during_its_backoff() {
     let now = Instant::now();
-    let mut place = place();
-    place.sync(vec![engine("a"), engine("b")], Share::new(0, 1));
+    let mut balancer = balancer();
+    balancer.sync(vec![engine("a"), engine("b")], Sender::new(0, 1));
     for _ in 0..20 {
-        let fit = place.choose(&demand(Work::default()), now).unwrap();
-        let held = place.sent(&fit, &Work::default(), now);
-        let is_dead = fit.id == "a".parse::<id::Upstream>().unwrap();
+        let placement = balancer.choose(&query(Work::default()), now).unwrap();
+        let in_flight = balancer.record_sent(&placement, &Work::default(), now);
+        let is_dead = placement.id == "a".parse::<id::Upstream>().unwrap();
         let outcome = if is_dead { Outcome::Unreachable } else { Outcome::Answered };
-        place.ended(held, outcome, now);
+        balancer.record_end(in_flight, outcome, now);
     }
     let tries = (0..20).filter(|_| {
-        let fit = place.choose(&demand(Work::default()), now).unwrap();
-        fit.id.as_str() == "a"
+        let placement = balancer.choose(&query(Work::default()), now).unwrap();
+        placement.id.as_str() == "a"
     });
     assert_eq!(tries.count(), 0);
-    place.sync(vec![engine("a")], Share::new(0, 1));
+    balancer.sync(vec![engine("a")], Sender::new(0, 1));
     assert!(
-        place.choose(&demand(Work::default()), now).is_some(),
-        "the only one is tried all the same"
+        balancer.choose(&query(Work::default()), now).is_some(),
+        "the only upstream is used despite the backoff"
     );
 }
 
-// One of three upstreams resets nearly half of its requests and is otherwise the quickest to be free again.
+// One of three upstreams resets half of its requests and is therefore often idle. It must not attract traffic.
 #[tokio::test(start_paused = true)]
 async fn a_failing_upstream_loses_its_traffic() {
     let mut now = Instant::now();
-    let mut place = place();
-    place.sync(["a", "b", "c"].map(engine).to_vec(), Share::new(0, 1));
+    let mut balancer = balancer();
+    balancer.sync(["a", "b", "c"].map(engine).to_vec(), Sender::new(0, 1));
     let mut to_a = 0;
     for nth in 0..300 {
         now += Duration::from_millis(10);
-        let fit = place.choose(&demand(Work::default()), now).unwrap();
-        let held = place.sent(&fit, &Work::default(), now);
-        let is_grey = fit.id.as_str() == "a";
-        to_a += u32::from(is_grey);
-        let outcome = if is_grey && nth % 2 == 0 { Outcome::Failed } else { Outcome::Answered };
-        place.ended(held, outcome, now);
+        let placement = balancer.choose(&query(Work::default()), now).unwrap();
+        let in_flight = balancer.record_sent(&placement, &Work::default(), now);
+        let is_failing = placement.id.as_str() == "a";
+        to_a += u32::from(is_failing);
+        let outcome = if is_failing && nth % 2 == 0 { Outcome::Failed } else { Outcome::Answered };
+        balancer.record_end(in_flight, outcome, now);
     }
     assert!(to_a < 30, "{to_a} of 300");
 }
 
-// One of three engines answers each stream with an error at once, while its health checks are good. It is always idle, and
-// the others run fifty requests each, so by load alone all new ones would go to it and fail.
+// One of three engines fails each stream at once although its health checks succeed. Since it is always idle, load
+// alone would send all new streams to it.
 #[tokio::test(start_paused = true)]
-async fn an_idle_engine_that_fails_draws_no_streams() {
+async fn an_idle_failing_engine_attracts_no_streams() {
     let mut now = Instant::now();
-    let mut place = place();
-    place.sync(["a", "b", "c"].map(engine).to_vec(), Share::new(0, 3));
+    let mut balancer = balancer();
+    balancer.sync(["a", "b", "c"].map(engine).to_vec(), Sender::new(0, 3));
     let stream = Work {
-        own: Tokens::new(800),
+        suffix: Tokens::new(800),
         output: Output { limit: Tokens::new(400), hint: Some(Tokens::new(300)) },
         ..Work::default()
     };
@@ -196,124 +194,122 @@
     for _ in 0..200 {
         now += Duration::from_millis(20);
         for busy in ["b", "c"] {
-            place.reported(&busy.parse().unwrap(), Report { running: 40, waiting: 0 }, now);
+            balancer.record_report(&busy.parse().unwrap(), Report { running: 40, waiting: 0 }, now);
         }
-        place.reported(&"a".parse().unwrap(), Report { running: 0, waiting: 0 }, now);
-        let fit = place.choose(&demand(stream), now).unwrap();
-        let held = place.sent(&fit, &stream, now);
-        let fails = fit.id.as_str() == "a";
+        balancer.record_report(&"a".parse().unwrap(), Report { running: 0, waiting: 0 }, now);
+        let placement = balancer.choose(&query(stream), now).unwrap();
+        let in_flight = balancer.record_sent(&placement, &stream, now);
+        let fails = placement.id.as_str() == "a";
         to_a += u32::from(fails);
         let outcome = if fails { Outcome::Error } else { Outcome::Answered };
-        place.ended(held, outcome, now);
+        balancer.record_end(in_flight, outcome, now);
     }
     assert!(to_a < 20, "{to_a} of 200");
 }
 
 #[tokio::test(start_paused = true)]
-async fn other_vms_requests_count_by_what_the_upstream_tells() {
+async fn load_reports_count_the_requests_of_other_vms() {
     let now = Instant::now();
-    let mut place = place();
-    place.sync(vec![engine("a"), engine("b")], Share::new(0, 3));
-    place.reported(&"a".parse().unwrap(), Report { running: 40, waiting: 20 }, now);
-    place.reported(&"b".parse().unwrap(), Report { running: 2, waiting: 0 }, now);
+    let mut balancer = balancer();
+    balancer.sync(vec![engine("a"), engine("b")], Sender::new(0, 3));
+    balancer.record_report(&"a".parse().unwrap(), Report { running: 40, waiting: 20 }, now);
+    balancer.record_report(&"b".parse().unwrap(), Report { running: 2, waiting: 0 }, now);
     for _ in 0..10 {
-        assert_eq!(place.choose(&demand(Work::default()), now).unwrap().id.as_str(), "b");
+        assert_eq!(balancer.choose(&query(Work::default()), now).unwrap().id.as_str(), "b");
     }
 }
 
-// An upstream starts again under its old name. What was running there is gone, and its memory is empty.
+// An upstream restarts under the same name. Its old requests and failures must not count for the new incarnation.
 #[tokio::test(start_paused = true)]
-async fn another_start_begins_with_a_clean_record() {
+async fn a_restart_clears_the_failure_history() {
     let now = Instant::now();
-    let mut place = place();
-    place.sync(vec![engine("a")], Share::new(0, 1));
-    let fit = place.choose(&demand(briefing(1)), now).unwrap();
-    let held = place.sent(&fit, &briefing(1), now);
-    place.sync(vec![Seen { born: 2, ..engine("a") }], Share::new(0, 1));
-    place.ended(held, Outcome::Failed, now);
-    let fit = place.choose(&demand(Work::default()), now).unwrap();
-    assert!(fit.expected < Duration::from_millis(60));
+    let mut balancer = balancer();
+    balancer.sync(vec![engine("a")], Sender::new(0, 1));
+    let placement = balancer.choose(&query(long_prompt(1)), now).unwrap();
+    let in_flight = balancer.record_sent(&placement, &long_prompt(1), now);
+    balancer.sync(vec![Endpoint { incarnation: 2, ..engine("a") }], Sender::new(0, 1));
+    balancer.record_end(in_flight, Outcome::Failed, now);
+    let placement = balancer.choose(&query(Work::default()), now).unwrap();
+    assert!(placement.first_event < Duration::from_millis(60));
 }
 
-/// Requests that each take 100 ms of an engine come to two engines, half as many again as these can read; returns how
-/// many of them had their first event within the objective.
+/// Simulates two engines at 150% of their capacity, with prefills of 100 ms. Returns the number of requests whose
+/// first event meets the objective.
 fn in_time(bound: Option<Duration>) -> usize {
     const OBJECTIVE: Duration = Duration::from_millis(800);
     const READS: Duration = Duration::from_millis(100);
     let start = Instant::now();
-    let mut place = place();
-    place.sync(["a", "b"].map(engine).to_vec(), Share::new(0, 1));
-    let work = Work { own: Tokens::new(5_000), ..Work::default() };
+    let mut balancer = balancer();
+    balancer.sync(["a", "b"].map(engine).to_vec(), Sender::new(0, 1));
+    let work = Work { suffix: Tokens::new(5_000), ..Work::default() };
     let mut free = std::collections::HashMap::new();
     let mut running = Vec::new();
     let mut good = 0;
     for nth in 0..300 {
         let now = start + Duration::from_millis(33) * nth;
         let due = running.extract_if(.., |(first, _)| *first <= now);
-        for (first, mut held) in due.collect::<Vec<_>>() {
-            place.event(&mut held, first);
-            place.ended(held, Outcome::Answered, first);
+        for (first, mut in_flight) in due.collect::<Vec<_>>() {
+            balancer.record_event(&mut in_flight, first);
+            balancer.record_end(in_flight, Outcome::Answered, first);
         }
-        let fit = place.choose(&demand(work), now).unwrap();
-        if bound.is_some_and(|bound| fit.expected > bound) {
+        let placement = balancer.choose(&query(work), now).unwrap();
+        if bound.is_some_and(|bound| placement.first_event > bound) {
             continue;
         }
-        let begins = *free.get(&fit.id).unwrap_or(&now);
-        let first = begins.max(now) + READS;
-        free.insert(fit.id.clone(), first);
+        let start_at = *free.get(&placement.id).unwrap_or(&now);
+        let first = start_at.max(now) + READS;
+        free.insert(placement.id.clone(), first);
         good += usize::from(first <= now + OBJECTIVE);
-        running.push((first, place.sent(&fit, &work, now)));
+        running.push((first, balancer.record_sent(&placement, &work, now)));
     }
     good
 }
 
-// Ten seconds of overload by a half. Taken without a bound, all wait behind all before them, and after two seconds every
-// answer is late. With it, two of three are in time, which is all that the engines can do.
+// Guards against accepting every request during overload: without a limit, all requests are late after two seconds.
 #[tokio::test(start_paused = true)]
 async fn under_overload_what_can_be_in_time_is() {
-    let with = in_time(Some(wait::longest(Duration::from_millis(800), false)));
+    let with = in_time(Some(wait::limit(Duration::from_millis(800), false)));
     let without = in_time(None);
     assert!(with >= 180, "{with} of 300 with the bound");
     assert!(without <= 90, "{without} of 300 without it");
 }
 
-/// A plain service that runs six requests at once for 60 ms each, and what one VM expects of it beside what comes true.
+/// Simulates a plain service with six slots and a service time of 60 ms.
 struct Plain {
-    place: Place,
-    /// When each slot is free.
+    balancer: Balancer,
+    /// When each slot becomes free.
     free: [Instant; 6],
-    running: Vec<(Instant, super::Held)>,
+    running: Vec<(Instant, super::InFlight)>,
 }
 
 impl Plain {
     const SERVICE_TIME: Duration = Duration::from_millis(60);
 
     fn new(now: Instant) -> Self {
-        let mut place = place();
-        place.sync(
-            vec![Seen { slots: Slots::new(6), memory: None, ..engine("a") }],
-            Share::new(0, 1),
+        let mut balancer = balancer();
+        balancer.sync(
+            vec![Endpoint { slots: Slots::new(6), memory: None, ..engine("a") }],
+            Sender::new(0, 1),
         );
-        Self { place, free: [now; 6], running: Vec::new() }
+        Self { balancer, free: [now; 6], running: Vec::new() }
     }
 
-    /// Sends a request; returns the expected and the true time to its answer.
+    /// Sends a request; returns the expected and the actual latency.
     fn send(&mut self, now: Instant) -> (Duration, Duration) {
-        for (_, held) in self.running.extract_if(.., |(ends, _)| *ends <= now) {
-            self.place.ended(held, Outcome::Answered, now);
+        for (_, in_flight) in self.running.extract_if(.., |(ends, _)| *ends <= now) {
+            self.balancer.record_end(in_flight, Outcome::Answered, now);
         }
-        let fit = self.place.choose(&demand(Work::default()), now).unwrap();
+        let placement = self.balancer.choose(&query(Work::default()), now).unwrap();
         let slot = self.free.iter_mut().min().unwrap();
         *slot = (*slot).max(now) + Self::SERVICE_TIME;
         let ends = *slot;
-        self.running.push((ends, self.place.sent(&fit, &Work::default(), now)));
-        (fit.expected, ends - now)
+        self.running.push((ends, self.balancer.record_sent(&placement, &Work::default(), now)));
+        (placement.first_event, ends - now)
     }
 }
 
-// A plain service gets a tenth more than it can serve for two seconds, so that some twenty requests wait for a slot. Their
-// wait is 0.2 s. If the measured mean held that wait already, it would be counted twice, and requests that are answered
-// within their time would be refused as too late.
+// A plain service runs at 110% of its capacity. The wait for a slot must not be counted twice, or requests are
+// rejected that would meet their deadlines.
 #[tokio::test(start_paused = true)]
 async fn the_wait_for_a_slot_is_counted_once() {
     let start = Instant::now();
@@ -327,42 +323,42 @@
     }
 }
 
-// All slots of an engine are taken by urgent requests of other VMs. One that isn't urgent would be thrown out there again and
-// again, and its seventeen thousand tokens read each time; its own engine is left for one that has free slots.
+// All slots of an engine are in use by urgent requests. A request that is not urgent would be preempted and
+// recomputed there repeatedly, so it must go to an engine with free slots.
 #[tokio::test(start_paused = true)]
-async fn what_is_not_urgent_keeps_away_from_a_full_engine() {
+async fn requests_that_are_not_urgent_avoid_a_full_engine() {
     let now = Instant::now();
-    let mut place = place();
-    place.sync(["a", "b"].map(engine).to_vec(), Share::new(0, 2));
-    let first = place.choose(&demand(briefing(1)), now).unwrap().id;
-    place.reported(&first, Report { running: 48, waiting: 2 }, now);
-    let briefing = Demand { urgent: false, ..demand(briefing(1)) };
-    let other = place.choose(&briefing, now).unwrap();
+    let mut balancer = balancer();
+    balancer.sync(["a", "b"].map(engine).to_vec(), Sender::new(0, 2));
+    let first = balancer.choose(&query(long_prompt(1)), now).unwrap().id;
+    balancer.record_report(&first, Report { running: 48, waiting: 2 }, now);
+    let query = Query { urgent: false, ..query(long_prompt(1)) };
+    let other = balancer.choose(&query, now).unwrap();
     assert_ne!(other.id, first);
-    assert!(other.expected < Duration::from_millis(500), "{other:?}");
-    place.reported(&other.id, Report { running: 48, waiting: 2 }, now);
-    let full = place.choose(&briefing, now).unwrap();
-    let longest = wait::longest(Duration::from_millis(1200), false);
-    assert!(full.expected > longest, "where all are full it is refused at once: {full:?}");
+    assert!(other.first_event < Duration::from_millis(500), "{other:?}");
+    balancer.record_report(&other.id, Report { running: 48, waiting: 2 }, now);
+    let full = balancer.choose(&query, now).unwrap();
+    let max_wait = wait::limit(Duration::from_millis(1200), false);
+    assert!(full.first_event > max_wait, "rejected if all engines are full: {full:?}");
 }
 
-// The engine that holds a part is behind. Two VMs that each took whatever other engine is best for them would have the part
-// read at two more.
+// The engine that caches a prefix is overloaded. All VMs must choose the same second engine, or the prefix is
+// recomputed on several.
 #[tokio::test(start_paused = true)]
 async fn all_vms_take_the_same_second_engine() {
     let now = Instant::now();
-    let (mut one, mut other) = (place(), place());
+    let (mut one, mut other) = (balancer(), balancer());
     for key in 0..30 {
         for vm in [&mut one, &mut other] {
-            *vm = place();
-            vm.sync(["a", "b", "c", "d", "e", "f"].map(engine).to_vec(), Share::new(0, 2));
+            *vm = balancer();
+            vm.sync(["a", "b", "c", "d", "e", "f"].map(engine).to_vec(), Sender::new(0, 2));
         }
-        let first = one.choose(&demand(briefing(key)), now).unwrap().id;
+        let first = one.choose(&query(long_prompt(key)), now).unwrap().id;
         let seconds = [&mut one, &mut other].map(|vm| {
-            vm.reported(&first, Report { running: 47, waiting: 200 }, now);
-            vm.choose(&demand(briefing(key)), now).unwrap().id
+            vm.record_report(&first, Report { running: 47, waiting: 200 }, now);
+            vm.choose(&query(long_prompt(key)), now).unwrap().id
         });
         assert_ne!(seconds[0], first);
-        assert_eq!(seconds[0], seconds[1], "part {key}");
+        assert_eq!(seconds[0], seconds[1], "prefix {key}");
     }
 }
--- /dev/null
+++ b/src/decide/place/upstream.rs
@@ -0,0 +1,359 @@
+//! State of one upstream, from the view of one VM.
+
+mod peers;
+
+use std::time::Duration;
+
+use tokio::time::Instant;
+
+use super::Endpoint;
+use super::Query;
+use super::cache::Cache;
+use super::cold::Cold;
+use super::cold::Pacer;
+use super::cold::Sender;
+use super::cost::Conditions;
+use super::health::Health;
+use super::health::Outcome;
+use super::health::OutcomeCounts;
+use super::service::Prefix;
+use super::service::Profile;
+use super::service::ServiceStats;
+use super::service::Work;
+use crate::decide::engine::Quantile;
+use crate::decide::engine::Speed;
+use crate::decide::sharing::Key;
+use crate::decide::sharing::Load;
+use crate::unit::Tokens;
+
+/// The minimum time constant with which load reports lose their weight; otherwise it is the service time. Reports
+/// arrive some hundred milliseconds late.
+const MIN_REPORT_DECAY: Duration = Duration::from_millis(500);
+/// Bounds of an engine's slowdown, relative to that of its service. An engine beyond them is avoided for its failures
+/// instead.
+const MAX_SLOWDOWN: f64 = 8.0;
+const MIN_SLOWDOWN: f64 = 0.25;
+/// The delay from a preemption, which happens if running requests need more memory than the engine has: they are
+/// evicted and recomputed, which takes about as long as they have run.
+const PREEMPTION: Duration = Duration::from_secs(2);
+
+/// The utilization from which requests that are not urgent may be preempted by urgent ones, which then wait for
+/// repeated prefills.
+const PREEMPTION_THRESHOLD: f64 = 0.9;
+
+/// A load report of an upstream.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Report {
+    /// The requests of all VMs that generate tokens.
+    pub running: u32,
+    /// The requests of all VMs that are queued or in prefill.
+    pub waiting: u32,
+}
+
+/// Whether an upstream has a prefix cached that this VM did not send to it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum CacheState {
+    /// All VMs send the prefix to this upstream.
+    Cached,
+    /// The VMs of the region send the prefix to this upstream while its assigned engine is overloaded.
+    MaybeCached,
+    /// There is no indication that it has.
+    Unknown,
+}
+
+#[derive(Debug)]
+struct LastReport {
+    others_running: u32,
+    others_waiting: u32,
+    at: Instant,
+}
+
+/// The state of one upstream, from the view of one VM.
+#[derive(Debug)]
+pub struct UpstreamState {
+    /// What the roster and the configuration say about it.
+    pub endpoint: Endpoint,
+    key: Key,
+    running: u32,
+    /// The number of running requests without a first event.
+    unread: u32,
+    /// The tokens to prefill for those.
+    unread_tokens: Tokens,
+    /// The memory used by this VM's running requests, without shared prefixes.
+    memory: Tokens,
+    report: Option<LastReport>,
+    /// The load from other VMs of the region and when it was received.
+    peer_load: Option<(Load, Instant)>,
+    /// When the upstream last responded.
+    heard: Option<Instant>,
+    /// Since when this VM has had requests on the upstream without interruption.
+    busy_since: Option<Instant>,
+    /// The ratio of its gaps between events to the gaps of the service without prefills.
+    slowdown: Quantile,
+    health: Health,
+    cache: Cache,
+    pacer: Pacer,
+}
+
+impl UpstreamState {
+    /// Creates the state of a new upstream.
+    pub fn new(endpoint: Endpoint) -> Self {
+        Self {
+            key: Key::new(&endpoint.id, endpoint.incarnation),
+            endpoint,
+            running: 0,
+            unread: 0,
+            unread_tokens: Tokens::ZERO,
+            memory: Tokens::ZERO,
+            report: None,
+            peer_load: None,
+            heard: None,
+            busy_since: None,
+            slowdown: Quantile::default(),
+            health: Health::default(),
+            cache: Cache::default(),
+            pacer: Pacer::default(),
+        }
+    }
+
+    /// Updates the announced properties. A new incarnation resets the state.
+    pub fn update(&mut self, endpoint: Endpoint) {
+        if endpoint.incarnation == self.endpoint.incarnation
+            && endpoint.address == self.endpoint.address
+        {
+            self.endpoint = endpoint;
+        } else {
+            *self = Self::new(endpoint);
+        }
+    }
+
+    /// Returns the number of this VM's requests on the upstream.
+    pub const fn running(&self) -> u32 {
+        self.running
+    }
+
+    /// Returns whether the upstream accepts a request now.
+    pub fn accepts(&self, speed: &Speed, is_fallback: bool, sender: Sender, now: Instant) -> bool {
+        let is_healthy = !self.endpoint.silent
+            && !self.health.is_backing_off(now)
+            && !self.is_unreachable(now)
+            && !self.is_unresponsive(speed, now);
+        self.endpoint.open
+            && self.running < self.endpoint.connections
+            && (is_healthy || is_fallback)
+            && self.cold(now).is_none_or(|cold| self.pacer.allows(&cold, sender, now))
+    }
+
+    /// Returns the number of prefix tokens to prefill.
+    pub fn uncached_prefix(&self, work: &Work, state: CacheState) -> Tokens {
+        let Some(prefix) = &work.prefix else { return Tokens::ZERO };
+        match state {
+            _ if self.cache.contains(prefix) => Tokens::ZERO,
+            CacheState::Cached => Tokens::ZERO,
+            CacheState::MaybeCached => Tokens::new(prefix.tokens.get() / 5 * 4),
+            CacheState::Unknown => prefix.tokens,
+        }
+    }
+
+    /// Returns the conditions under which a request would run.
+    pub fn conditions(
+        &self,
+        stats: &ServiceStats,
+        profile: &Profile,
+        query: &Query<'_>,
+        uncached: Tokens,
+        sender: Sender,
+        now: Instant,
+    ) -> Conditions {
+        let total = self.total_requests(stats, sender, now);
+        let slot_wait = stats.service_time().as_secs_f64() * (self.rounds(total) - 1.0);
+        let Some(memory) = self.endpoint.memory else {
+            let first_event = stats.service_time().as_secs_f64() + slot_wait;
+            return Conditions {
+                first_event,
+                prefill: 0.0,
+                uncached: 0.0,
+                events: 0.0,
+                running: total,
+                slowdown: 1.0,
+            };
+        };
+        let prefill = (uncached + query.work.suffix).get() as f64;
+        let queued = self.backlog(stats, sender, now).get() as f64 + prefill;
+        let reserved = self.reserved_memory(&query.work, sender, total, now);
+        let preemption = self.preemption_delay(reserved, memory, query.urgent, total);
+        let slowdown = self.slowdown(profile);
+        // The model of the first event already includes the mean slowdown.
+        let relative_slowdown = slowdown / profile.slowdown;
+        Conditions {
+            first_event: profile.speed.first_event(queued) * relative_slowdown
+                + slot_wait
+                + preemption,
+            prefill,
+            uncached: uncached.get() as f64,
+            events: profile.length.events(&query.work.output),
+            running: total,
+            slowdown,
+        }
+    }
+
+    /// Returns the number of tokens queued for prefill.
+    pub fn backlog(&self, stats: &ServiceStats, sender: Sender, now: Instant) -> Tokens {
+        if let Some(load) = self.peer_load(now) {
+            return self.unread_tokens + Tokens::new(load.unread_tokens);
+        }
+        let (_, others_waiting) = self.peer_requests(stats, sender, now);
+        self.unread_tokens + Tokens::new((others_waiting * stats.mean_prefill()) as u64)
+    }
+
+    /// Returns the tokens that all running requests and this one will have in memory. Unknown requests of other VMs
+    /// are assumed to be like this VM's.
+    fn reserved_memory(&self, work: &Work, sender: Sender, total: f64, now: Instant) -> f64 {
+        let own = (self.memory + work.suffix + work.output.likely()).get() as f64;
+        match self.peer_load(now) {
+            Some(load) => own + load.memory as f64,
+            None => {
+                let ratio = (total + 1.0) / f64::from(self.running + 1);
+                own * f64::from(sender.count()).min(ratio)
+            }
+        }
+    }
+
+    /// Returns the expected delay from preemption, in seconds.
+    fn preemption_delay(&self, reserved: f64, memory: Tokens, urgent: bool, total: f64) -> f64 {
+        let excess = (reserved / memory.get().max(1) as f64 - 1.0).clamp(0.0, 1.0);
+        let probability =
+            if urgent { excess } else { excess.max(self.preemption_probability(total)) };
+        PREEMPTION.as_secs_f64() * probability
+    }
+
+    /// Returns the probability that a request which is not urgent is preempted: zero below the threshold, one if all
+    /// slots are in use.
+    fn preemption_probability(&self, total: f64) -> f64 {
+        let utilization = (total + 1.0) / self.slots();
+        ((utilization - PREEMPTION_THRESHOLD) / (1.0 - PREEMPTION_THRESHOLD)).clamp(0.0, 1.0)
+    }
+
+    /// Returns the number of requests of all VMs.
+    pub fn total_requests(&self, stats: &ServiceStats, sender: Sender, now: Instant) -> f64 {
+        let (others_running, others_waiting) = self.peer_requests(stats, sender, now);
+        f64::from(self.running) + others_running + others_waiting
+    }
+
+    /// Returns the number of requests that run concurrently.
+    pub fn slots(&self) -> f64 {
+        self.endpoint.slots.get().max(1) as f64
+    }
+
+    /// Returns the expected duration of one more request in multiples of the service time, the wait for a slot
+    /// included.
+    pub fn rounds(&self, total: f64) -> f64 {
+        ((total + 1.0) / self.slots()).max(1.0)
+    }
+
+    /// Returns the ratio of the gaps between events to the gaps of the service without prefills.
+    fn slowdown(&self, profile: &Profile) -> f64 {
+        let measured = self.slowdown.get().unwrap_or(profile.slowdown);
+        measured.clamp(profile.slowdown * MIN_SLOWDOWN, profile.slowdown * MAX_SLOWDOWN)
+    }
+
+    /// Records the ratio of a gap between events to the one expected for its service.
+    pub fn record_slowdown(&mut self, ratio: f64) {
+        self.slowdown.add(ratio);
+    }
+
+    /// Returns the penalty for failures, as a wait.
+    pub fn penalty(&self, now: Instant) -> Duration {
+        let others = self.peer_load(now).map_or_else(OutcomeCounts::default, |load| {
+            OutcomeCounts { answered: f64::from(load.answered), failed: f64::from(load.failed) }
+        });
+        self.health.penalty(self.endpoint.memory.is_some(), others, now)
+    }
+
+    /// Returns whether the prefix is probably cached.
+    pub fn has_cached(&self, prefix: &Prefix) -> bool {
+        self.cache.contains(prefix)
+    }
+
+    /// Records that the upstream responded.
+    pub fn record_response(&mut self, now: Instant) {
+        self.heard = Some(now);
+    }
+
+    /// Records that a request was sent.
+    pub fn record_sent(
+        &mut self,
+        work: &Work,
+        prefill: Tokens,
+        memory: Tokens,
+        sender: Sender,
+        now: Instant,
+    ) {
+        self.running += 1;
+        self.busy_since.get_or_insert(now);
+        self.unread += 1;
+        self.unread_tokens += prefill;
+        self.memory += memory;
+        if let Some(cold) = self.cold(now) {
+            self.pacer.record(&cold, sender, now);
+        }
+        if let (Some(prefix), Some(memory)) = (work.prefix, self.endpoint.memory) {
+            self.cache.record_use(prefix, memory, now);
+        }
+    }
+
+    /// Records the end of the prefill of a request.
+    pub fn record_prefilled(&mut self, prefill: Tokens) {
+        self.unread = self.unread.saturating_sub(1);
+        self.unread_tokens = self.unread_tokens.saturating_sub(prefill);
+    }
+
+    /// Records the end of a request.
+    pub fn record_end(&mut self, memory: Tokens, outcome: Outcome, now: Instant) {
+        self.running = self.running.saturating_sub(1);
+        self.memory = self.memory.saturating_sub(memory);
+        if self.running == 0 {
+            self.busy_since = None;
+        }
+        if matches!(outcome, Outcome::Answered | Outcome::Refused | Outcome::Error) {
+            self.record_response(now);
+        }
+        self.health.record(outcome, now);
+    }
+
+    /// Records a load report.
+    pub fn record_report(&mut self, report: Report, now: Instant) {
+        let own_running = self.running.saturating_sub(self.unread);
+        self.report = Some(LastReport {
+            others_running: report.running.saturating_sub(own_running),
+            others_waiting: report.waiting.saturating_sub(self.unread),
+            at: now,
+        });
+    }
+
+    /// Returns the numbers of running and of waiting requests from other VMs.
+    ///
+    /// Without shared load data, the last report is blended with the mean of the service as it ages: counted requests
+    /// end and new ones arrive. A VM that rarely sends to an upstream would otherwise decide by outdated counts.
+    fn peer_requests(&self, stats: &ServiceStats, sender: Sender, now: Instant) -> (f64, f64) {
+        if let Some(load) = self.peer_load(now) {
+            return (f64::from(load.running - load.unread), f64::from(load.unread));
+        }
+        let own_running = f64::from(self.running - self.unread);
+        let own_waiting = f64::from(self.unread);
+        let others = f64::from(sender.count() - 1);
+        let (Some(report), Some((running, waiting))) = (&self.report, stats.mean_load()) else {
+            // Without a report, the other VMs are assumed to send as much as this one.
+            return (others * own_running, others * own_waiting);
+        };
+        let mean = ((running - own_running).max(0.0), (waiting - own_waiting).max(0.0));
+        let age = now.saturating_duration_since(report.at).as_secs_f64();
+        let weight = (-age / stats.service_time().max(MIN_REPORT_DECAY).as_secs_f64()).exp();
+        let blended = |reported: u32, mean: f64| mean + (f64::from(reported) - mean) * weight;
+        (blended(report.others_running, mean.0), blended(report.others_waiting, mean.1))
+    }
+
+    fn cold(&self, now: Instant) -> Option<Cold> {
+        self.endpoint.cold.filter(|cold| now < cold.until)
+    }
+}
--- a/src/decide/place/wait.rs
+++ b/src/decide/place/wait.rs
@@ -1,19 +1,19 @@
-//! How long a request may be expected to wait for its first event.
+//! Limit of the expected time to the first event.
 //!
-//! Load pattern: more requests than the engines of all regions can read in, for seconds. If all are taken, all are late,
-//! and an answer that comes late is worth a third of one in time, or nothing. What can't be in time is refused at once,
-//! with a time to come back, and the rest is in time. The less urgent ones make room first.
+//! Load pattern: for some seconds, more requests arrive than the engines of all regions can prefill. If all are
+//! accepted, all are late, and a late answer is worth little or nothing. Requests that would be late are rejected at
+//! once with a retry time, those of low priority first.
 
 use std::time::Duration;
 
-/// The part of its objective that an urgent request may be expected to wait. Expectations err by a fifth or so: a bound
-/// at the objective itself would refuse requests that are in time.
-const URGENT: f64 = 1.25;
+/// The limit for urgent requests, relative to the objective. Above one, since estimates have an error of about a
+/// fifth and would otherwise reject requests that meet it.
+const URGENT_FACTOR: f64 = 1.25;
 
-/// The same for the others.
-const OTHERS: f64 = 1.0;
+/// The limit for other requests, relative to the objective.
+const DEFAULT_FACTOR: f64 = 1.0;
 
-/// The longest wait for a request whose first event should come within the objective.
-pub fn longest(objective: Duration, urgent: bool) -> Duration {
-    objective.mul_f64(if urgent { URGENT } else { OTHERS })
+/// Returns the maximum expected time to the first event for an objective.
+pub fn limit(objective: Duration, urgent: bool) -> Duration {
+    objective.mul_f64(if urgent { URGENT_FACTOR } else { DEFAULT_FACTOR })
 }
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -203,7 +203,7 @@
     match claim.target() {
         Target::Upstream(upstream) => {
             if let Some(load) = answer.load {
-                hub.place().reported(upstream, load, Instant::now());
+                hub.place().record_report(upstream, load, Instant::now());
             }
         }
         Target::Vm(region, _) => note_outlook(hub, region, job, &response),
@@ -246,7 +246,7 @@
     let outlook = headers::outlook(response.headers()).or(refuses.then_some(NO_ROOM));
     if let Some(outlook) = outlook {
         let about = (job.service.as_str(), job.urgent);
-        hub.regions().told(region, about, outlook, Instant::now());
+        hub.regions().record_outlook(region, about, outlook, Instant::now());
     }
 }
 
--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -7,7 +7,7 @@
 use http::uri::PathAndQuery;
 
 use crate::decide::engine::Output;
-use crate::decide::place::Shared;
+use crate::decide::place::Prefix;
 use crate::decide::place::Work;
 use crate::routing::Credential;
 use crate::unit::Tokens;
@@ -68,7 +68,7 @@
         let shared = prompt.shared();
         let read = shared.map_or(Tokens::ZERO, |shared| shared.tokens);
         let output = Output { limit: prompt.output, hint: prompt.hint };
-        Work { shared, own: prompt.input.saturating_sub(read), output }
+        Work { prefix: shared, suffix: prompt.input.saturating_sub(read), output }
     }
 }
 
@@ -80,11 +80,11 @@
 
     /// The leading parts that other requests have too, named by the last of them: a part is of use only where all parts
     /// before it are there as well.
-    fn shared(&self) -> Option<Shared> {
+    fn shared(&self) -> Option<Prefix> {
         let (_, leading) = self.parts.split_last()?;
         let key = leading.last()?.0;
         let tokens = leading.iter().map(|(_, tokens)| *tokens).sum();
-        (tokens >= WORTH_FINDING).then_some(Shared { key, tokens })
+        (tokens >= WORTH_FINDING).then_some(Prefix { key, tokens })
     }
 }
 
--- a/src/gateway/claim.rs
+++ b/src/gateway/claim.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 use super::Hub;
-use crate::decide::place::Held;
+use crate::decide::place::InFlight;
 use crate::decide::place::Outcome;
 use crate::id;
 
@@ -23,13 +23,13 @@
     hub: Arc<Hub>,
     target: Target,
     service: String,
-    held: Option<Held>,
+    held: Option<InFlight>,
     outcome: Outcome,
 }
 
 impl Claim {
     /// A claim of a request that is sent now. A request that is dropped before it has ended was abandoned.
-    pub fn new(hub: Arc<Hub>, target: Target, service: &str, held: Option<Held>) -> Self {
+    pub fn new(hub: Arc<Hub>, target: Target, service: &str, held: Option<InFlight>) -> Self {
         let outcome = Outcome::Abandoned;
         Self { hub, target, service: service.to_owned(), held, outcome }
     }
@@ -42,7 +42,7 @@
     /// An event of its answer, or its whole answer, came.
     pub fn event(&mut self) {
         if let Some(held) = &mut self.held {
-            self.hub.place().event(held, Instant::now());
+            self.hub.place().record_event(held, Instant::now());
         }
     }
 
@@ -57,10 +57,10 @@
         let now = Instant::now();
         match (&self.target, self.held.take()) {
             (Target::Upstream(_), Some(held)) => {
-                self.hub.place().ended(held, self.outcome, now);
+                self.hub.place().record_end(held, self.outcome, now);
             }
             (Target::Vm(region, _), _) => {
-                self.hub.regions().ended(region, &self.service, self.outcome, now);
+                self.hub.regions().record_end(region, &self.service, self.outcome, now);
             }
             (Target::Upstream(_), None) => (),
         }
--- a/src/gateway/hub.rs
+++ b/src/gateway/hub.rs
@@ -29,7 +29,7 @@
 use crate::decide::freshness;
 use crate::decide::freshness::Freshness;
 use crate::decide::freshness::Proof;
-use crate::decide::place::Place;
+use crate::decide::place::Balancer;
 use crate::decide::place::Regions;
 use crate::decide::quota::Meter;
 use crate::decide::retry::repeats::Bound;
@@ -82,7 +82,7 @@
     adapter: Arc<dyn Adapter>,
     routing: Mutex<Routing>,
     merged: Mutex<Merged>,
-    place: Mutex<Place>,
+    place: Mutex<Balancer>,
     regions: Mutex<Regions>,
     freshness: Mutex<Freshness>,
     meter: Mutex<Meter>,
@@ -143,7 +143,7 @@
             adapter,
             routing: Mutex::default(),
             merged: Mutex::default(),
-            place: Mutex::new(Place::new(SmallRng::from_rng(&mut rng))),
+            place: Mutex::new(Balancer::new(SmallRng::from_rng(&mut rng))),
             regions: Mutex::default(),
             freshness: Mutex::default(),
             meter: Mutex::new(Meter::new(SmallRng::from_rng(&mut rng), excess)),
@@ -221,7 +221,7 @@
         self.routing.lock().expect("no panic while locked").clone()
     }
 
-    pub(super) fn place(&self) -> MutexGuard<'_, Place> {
+    pub(super) fn place(&self) -> MutexGuard<'_, Balancer> {
         self.place.lock().expect("no panic while locked")
     }
 
--- a/src/gateway/hub/upstreams.rs
+++ b/src/gateway/hub/upstreams.rs
@@ -6,9 +6,9 @@
 
 use super::Hub;
 use crate::decide::place::Cold;
-use crate::decide::place::Open;
-use crate::decide::place::Seen;
-use crate::decide::place::Share;
+use crate::decide::place::Endpoint;
+use crate::decide::place::OpenUpstreams;
+use crate::decide::place::Sender;
 use crate::id;
 use crate::roster::Merged;
 use crate::roster::Standing;
@@ -27,13 +27,13 @@
         let me = self.node.vm();
         let names: BTreeSet<&id::Vm> = senders.map(|vm| &vm.vm).chain([&me]).collect();
         let rank = names.iter().take_while(|name| ***name < me).count();
-        let share = Share::new(rank as u32, names.len() as u32);
+        let share = Sender::new(rank as u32, names.len() as u32);
         let here = merged.upstreams().filter(|upstream| {
             self.node.region_of(&upstream.said.data_centre) == Some(&self.node.region)
         });
         let seen = here.map(|upstream| {
             let is_evacuated = routing.evacuated.contains(&upstream.said.data_centre);
-            see(upstream, table.service(&upstream.said.service), is_evacuated, share.senders())
+            see(upstream, table.service(&upstream.said.service), is_evacuated, share.count())
         });
         let seen = seen.collect();
         let elsewhere = self.elsewhere(&merged, &routing.evacuated);
@@ -50,8 +50,8 @@
         &self,
         merged: &Merged,
         evacuated: &BTreeSet<id::DataCentre>,
-    ) -> HashMap<String, Open> {
-        let mut elsewhere: HashMap<String, Open> = HashMap::new();
+    ) -> HashMap<String, OpenUpstreams> {
+        let mut elsewhere: HashMap<String, OpenUpstreams> = HashMap::new();
         for upstream in merged.upstreams() {
             let said = &upstream.said;
             let is_open = said.standing == Standing::Ready
@@ -71,15 +71,15 @@
 
 /// An upstream as the placement needs it. What all VMs share is divided evenly among those of the region: upstreams take
 /// connections from their own region alone.
-fn see(upstream: &Upstream, service: Option<&Arc<Service>>, away: bool, senders: u32) -> Seen {
+fn see(upstream: &Upstream, service: Option<&Arc<Service>>, away: bool, senders: u32) -> Endpoint {
     let said = &upstream.said;
     let connections = service.map_or(u32::MAX, |service| (service.connections / senders).max(1));
     let rate = service.and_then(|service| service.cold_rate);
     let cold = rate.map(|rate| Cold { until: upstream.cold_until, rate });
     let engine = service.and_then(|service| service.engine.as_ref());
-    Seen {
+    Endpoint {
         id: said.id.clone(),
-        born: said.stamp.born,
+        incarnation: said.stamp.born,
         service: said.service.clone(),
         address: said.address,
         slots: said.slots,
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -18,11 +18,11 @@
 use super::claim::Claim;
 use super::claim::Target;
 use super::receive::WAITED;
-use crate::decide::place::Demand;
-use crate::decide::place::Fit;
 use crate::decide::place::Holder;
-use crate::decide::place::Offer;
-use crate::decide::place::Passage;
+use crate::decide::place::Placement;
+use crate::decide::place::Query;
+use crate::decide::place::RegionCandidate;
+use crate::decide::place::RegionQuery;
 use crate::decide::place::Work;
 use crate::decide::place::wait;
 use crate::decide::quota;
@@ -112,30 +112,30 @@
 
 /// Where the next attempt goes.
 enum Chosen {
-    Here(Fit),
-    There { vm: id::Vm, address: SocketAddr, offer: Offer },
+    Here(Placement),
+    There { vm: id::Vm, address: SocketAddr, offer: RegionCandidate },
 }
 
 impl Chosen {
     const fn expected(&self) -> Duration {
         match self {
-            Self::Here(fit) => fit.expected,
-            Self::There { offer, .. } => offer.expected,
+            Self::Here(fit) => fit.first_event,
+            Self::There { offer, .. } => offer.first_event,
         }
     }
 
     /// The expected time to the last event.
     const fn whole(&self) -> Duration {
         match self {
-            Self::Here(fit) => fit.whole,
-            Self::There { offer, .. } => offer.whole,
+            Self::Here(fit) => fit.last_event,
+            Self::There { offer, .. } => offer.last_event,
         }
     }
 
     /// The tokens that an upstream is taken to read for it; none where another VM decides that.
     fn reads(&self) -> Option<u64> {
         match self {
-            Self::Here(fit) => Some(fit.reads.get()),
+            Self::Here(fit) => Some(fit.prefill.get()),
             Self::There { .. } => None,
         }
     }
@@ -151,7 +151,7 @@
     /// The age of what the region's other VMs told of it, in milliseconds; none where this VM decides by its own view.
     fn told_ms(&self) -> Option<u64> {
         match self {
-            Self::Here(fit) => fit.told.map(|age| age.as_millis() as u64),
+            Self::Here(fit) => fit.load_age.map(|age| age.as_millis() as u64),
             Self::There { .. } => None,
         }
     }
@@ -299,7 +299,7 @@
     fn longest_wait(&self) -> Duration {
         let route = &self.job.route;
         match route.kind.is_stream() {
-            true => wait::longest(route.objective, self.job.urgent),
+            true => wait::limit(route.objective, self.job.urgent),
             false => Duration::MAX,
         }
     }
@@ -366,7 +366,7 @@
         let (target, held, address) = match chosen {
             Chosen::Here(fit) => {
                 self.tried.push(fit.id.clone());
-                let held = self.hub.place().sent(fit, &self.work, Instant::now());
+                let held = self.hub.place().record_sent(fit, &self.work, Instant::now());
                 (Target::Upstream(fit.id.clone()), Some(held), fit.address)
             }
             Chosen::There { vm, address, .. } => {
@@ -379,8 +379,8 @@
             "expected_ms" => chosen.expected().as_millis() as u64,
             "whole_ms" => chosen.whole().as_millis() as u64,
             "beside" => chosen.beside(), "told_ms" => chosen.told_ms(), "reads" => chosen.reads(),
-            "own" => self.work.own.get(),
-            "shared" => self.work.shared.map(|shared| format!("{:x}", shared.key)));
+            "own" => self.work.suffix.get(),
+            "shared" => self.work.prefix.map(|shared| format!("{:x}", shared.key)));
         (Claim::new(self.hub.clone(), target, service, held), address)
     }
 
@@ -404,20 +404,21 @@
         let urgent = self.job.urgent;
         let longest = self.job.deadline.saturating_duration_since(now).min(self.longest_wait());
         let (work, bytes) = (self.work, self.job.body.len());
-        let passage = Passage { service, work, urgent, bytes, longest, allows: &allows };
+        let passage =
+            RegionQuery { service, work, urgent, bytes, max_wait: longest, allows: &allows };
         let is_home = is_home(&self.hub.node().region);
-        let shared = self.work.shared.filter(|_| is_home);
-        let weight = shared.and_then(|shared| self.hub.place().weight(service, &shared));
+        let shared = self.work.prefix.filter(|_| is_home);
+        let weight = shared.and_then(|shared| self.hub.place().rendezvous_weight(service, &shared));
         let holder = self.hub.regions().holder(&passage, weight, now);
-        let holds = holder == Holder::Here;
+        let holds_prefix = holder == Holder::Local;
         let tried = &self.tried;
-        let demand = Demand { service, work, tried, holds, urgent, longest };
+        let demand = Query { service, work, tried, holds_prefix, urgent, max_wait: longest };
         let here = if is_home { self.hub.place().choose(&demand, now) } else { None };
         let offers = match self.job.layer {
             Layer::First => {
                 let spread = || Duration::from_micros(self.hub.draw() % SPREAD_MICROS);
-                let usual = self.hub.place().usual(service);
-                self.hub.regions().offers(&passage, &holder, &usual, spread, now)
+                let usual = self.hub.place().profile(service);
+                self.hub.regions().candidates(&passage, &holder, &usual, spread, now)
             }
             Layer::Forwarded => Vec::new(),
         };
@@ -427,7 +428,7 @@
     }
 
     /// The first region of these that has a VM which takes requests.
-    fn pass_on_to(&self, mut offers: impl Iterator<Item = Offer>) -> Option<Chosen> {
+    fn pass_on_to(&self, mut offers: impl Iterator<Item = RegionCandidate>) -> Option<Chosen> {
         offers.find_map(|offer| {
             let (vm, address) = self.hub.vm_in(&offer.region, &self.tried_vms)?;
             Some(Chosen::There { vm, address, offer })
@@ -456,8 +457,8 @@
             "route" => &route.name, "rank" => self.job.rank, "target" => ?chosen.target(),
             "expected_ms" => chosen.expected().as_millis() as u64,
             "longest_ms" => longest.as_millis() as u64,
-            "own_tokens" => self.work.own.get(),
-            "shared_tokens" => self.work.shared.map(|shared| shared.tokens.get()));
+            "own_tokens" => self.work.suffix.get(),
+            "shared_tokens" => self.work.prefix.map(|shared| shared.tokens.get()));
     }
 
     fn log(&self, event: &'static str, why: &'static str) {
--- a/src/gateway/share.rs
+++ b/src/gateway/share.rs
@@ -187,12 +187,12 @@
         }
         let (loads, used) = {
             let mut place = hub.place();
-            (place.loads(shard, now), place.uses(shard))
+            (place.loads(shard, now), place.take_uses(shard))
         };
         let mut update = self.update(shard, turn.number, loads, used);
         update.quotas = hub.meter().counts(shard, now);
         if shard == REMOTES {
-            update.remotes = hub.regions().news(now);
+            update.remotes = hub.regions().take_outlooks(now);
         }
         let me = hub.node().vm();
         if turn.host == me {
@@ -299,8 +299,8 @@
         if let Some(parts) = &summary.quotas {
             hub.meter().told(summary.shard, parts, now);
         }
-        hub.place().told(&summary, now);
-        hub.regions().told_by_host(&summary.remotes, now);
+        hub.place().apply_summary(&summary, now);
+        hub.regions().apply_remotes(&summary.remotes, now);
     }
 
     async fn send(&self, to: SocketAddr, message: &Message) {
--- a/tests/load/streams/world.rs
+++ b/tests/load/streams/world.rs
@@ -10,18 +10,18 @@
 use fakes::steps::Shown;
 use fakes::steps::Steps;
 use masticstream::decide::engine::Output;
-use masticstream::decide::place::Demand;
-use masticstream::decide::place::Held;
+use masticstream::decide::place::Balancer;
+use masticstream::decide::place::Endpoint;
 use masticstream::decide::place::Holder;
-use masticstream::decide::place::Open;
+use masticstream::decide::place::InFlight;
+use masticstream::decide::place::OpenUpstreams;
 use masticstream::decide::place::Outcome;
-use masticstream::decide::place::Passage;
-use masticstream::decide::place::Place;
+use masticstream::decide::place::Prefix;
+use masticstream::decide::place::Query;
+use masticstream::decide::place::RegionQuery;
 use masticstream::decide::place::Regions;
 use masticstream::decide::place::Report;
-use masticstream::decide::place::Seen;
-use masticstream::decide::place::Share;
-use masticstream::decide::place::Shared;
+use masticstream::decide::place::Sender;
 use masticstream::decide::place::Work;
 use masticstream::decide::place::wait;
 use masticstream::decide::sharing::Aggregator;
@@ -138,7 +138,7 @@
     came: f64,
     /// The VM that sent it to an engine, its place there, and how far that VM is from its caller.
     sent: Option<(usize, usize, usize, f64)>,
-    held: Option<Held>,
+    held: Option<InFlight>,
     first: Option<f64>,
     is_whole: bool,
     is_over: bool,
@@ -147,7 +147,7 @@
 }
 
 struct Vm {
-    place: Place,
+    place: Balancer,
     regions: Regions,
     turn: usize,
     known: [Position; SHARDS as usize],
@@ -158,14 +158,14 @@
     let name: id::Vm = format!("vm{nth}").parse().unwrap();
     for shard in 0..SHARDS {
         let known = vm.known[usize::from(shard)];
-        let (loads, uses) = (vm.place.loads(shard, now), vm.place.uses(shard));
-        let remotes = if shard == REMOTES { vm.regions.news(now) } else { Vec::new() };
+        let (loads, uses) = (vm.place.loads(shard, now), vm.place.take_uses(shard));
+        let remotes = if shard == REMOTES { vm.regions.take_outlooks(now) } else { Vec::new() };
         let quotas = Vec::new();
         let update = Update { shard, start: 1, number, loads, quotas, uses, known, remotes };
         let summary = host.take(&name, update, now).unwrap();
         vm.known[usize::from(shard)] = summary.known;
-        vm.place.told(&summary, now);
-        vm.regions.told_by_host(&summary.remotes, now);
+        vm.place.apply_summary(&summary, now);
+        vm.regions.apply_remotes(&summary.remotes, now);
     }
 }
 
@@ -194,11 +194,11 @@
 impl World {
     fn new(site: &Site, policy: Policy, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let seen = |region: usize| -> Vec<Seen> {
+        let seen = |region: usize| -> Vec<Endpoint> {
             let engines = site.regions[region].iter().enumerate();
-            let seen = engines.map(|(nth, settings)| Seen {
+            let seen = engines.map(|(nth, settings)| Endpoint {
                 id: engine_name(region, nth),
-                born: 1,
+                incarnation: 1,
                 service: SERVICE.to_owned(),
                 address: ([127, 0, 0, 1], 1).into(),
                 slots: Slots::new(settings.slots as u64),
@@ -212,9 +212,9 @@
         };
         let vms = (0..site.regions.len()).map(|region| {
             let vms = (0..site.vms).map(|nth| {
-                let mut place = Place::new(SmallRng::from_rng(&mut rng));
-                place.sync(seen(region), Share::new(nth as u32, site.vms as u32));
-                let open: Open = (0..site.regions.len())
+                let mut place = Balancer::new(SmallRng::from_rng(&mut rng));
+                place.sync(seen(region), Sender::new(nth as u32, site.vms as u32));
+                let open: OpenUpstreams = (0..site.regions.len())
                     .filter(|other| *other != region)
                     .map(|other| {
                         let names = 0..site.regions[other].len();
@@ -297,9 +297,9 @@
 
     fn work(&self, request: usize) -> Work {
         let Request { ask, hint, .. } = &self.requests[request];
-        let shared = ask.shared.map(|(key, tokens)| Shared { key, tokens: Tokens::new(tokens) });
+        let shared = ask.shared.map(|(key, tokens)| Prefix { key, tokens: Tokens::new(tokens) });
         let output = Output { limit: Tokens::new(4000), hint: Some(Tokens::new(*hint)) };
-        Work { shared, own: Tokens::new(ask.own), output }
+        Work { prefix: shared, suffix: Tokens::new(ask.own), output }
     }
 
     /// A request reaches a VM, which sends it to an engine or to another region; the arrival there, where it does.
@@ -319,18 +319,25 @@
         }
         let allows = |_: &id::Region| true;
         let urgent = kind.rank == 0;
-        let longest = wait::longest(Duration::from_secs_f64(kind.objective), urgent);
-        let passage =
-            Passage { service: SERVICE, work, urgent, bytes: 5000, longest, allows: &allows };
-        let weight = work.shared.and_then(|shared| vm.place.weight(SERVICE, &shared));
+        let longest = wait::limit(Duration::from_secs_f64(kind.objective), urgent);
+        let passage = RegionQuery {
+            service: SERVICE,
+            work,
+            urgent,
+            bytes: 5000,
+            max_wait: longest,
+            allows: &allows,
+        };
+        let weight = work.prefix.and_then(|shared| vm.place.rendezvous_weight(SERVICE, &shared));
         let holder = vm.regions.holder(&passage, weight, instant);
-        let holds = holder == Holder::Here;
-        let demand = Demand { service: SERVICE, work, tried: &[], holds, urgent, longest };
+        let holds_prefix = holder == Holder::Local;
+        let demand =
+            Query { service: SERVICE, work, tried: &[], holds_prefix, urgent, max_wait: longest };
         let here = vm.place.choose(&demand, instant);
-        let usual = vm.place.usual(SERVICE);
+        let usual = vm.place.profile(SERVICE);
         let offers = match forwarded {
             true => Vec::new(),
-            false => vm.regions.offers(&passage, &holder, &usual, || Duration::ZERO, instant),
+            false => vm.regions.candidates(&passage, &holder, &usual, || Duration::ZERO, instant),
         };
         let cost = here.as_ref().map_or(Duration::MAX, |fit| fit.cost);
         if let Some(offer) = offers.first().filter(|offer| offer.cost < cost) {
@@ -340,11 +347,11 @@
             return Some(Arrival { micros, request, region: there, forwarded: true });
         }
         let fit = here?;
-        if fit.expected > longest {
+        if fit.first_event > longest {
             self.requests[request].is_over = true;
             return None;
         }
-        let held = vm.place.sent(&fit, &work, instant);
+        let held = vm.place.record_sent(&fit, &work, instant);
         let engine = (0..self.engines[region].len())
             .find(|nth| engine_name(region, *nth) == fit.id)
             .unwrap();
@@ -356,7 +363,7 @@
         &mut self,
         request: usize,
         (region, vm, engine): (usize, usize, usize),
-        held: Option<Held>,
+        held: Option<InFlight>,
         now: f64,
     ) {
         let asked = &mut self.requests[request];
@@ -396,19 +403,19 @@
             self.requests[request].first = Some(at + way);
             let (running, waiting) = self.engines[region][engine].load();
             let place = &mut self.vms[region][vm].place;
-            place.reported(&engine_name(region, engine), Report { running, waiting }, instant);
+            place.record_report(&engine_name(region, engine), Report { running, waiting }, instant);
             if let Some((from, asked)) = self.requests[request].from
                 && let Some(outlook) = place.outlook(SERVICE, true, instant)
             {
                 let name = region_name(region);
                 for urgent in [false, true] {
                     let about = (SERVICE, urgent);
-                    self.vms[from][asked].regions.told(&name, about, outlook, instant);
+                    self.vms[from][asked].regions.record_outlook(&name, about, outlook, instant);
                 }
             }
         }
         if let Some(held) = &mut self.requests[request].held {
-            self.vms[region][vm].place.event(held, instant);
+            self.vms[region][vm].place.record_event(held, instant);
         }
         if shown == Shown::End {
             let asked = &mut self.requests[request];
@@ -422,7 +429,7 @@
         let asked = &mut self.requests[request];
         asked.is_over = true;
         if let Some(held) = asked.held.take() {
-            self.vms[region][vm].place.ended(held, outcome, instant);
+            self.vms[region][vm].place.record_end(held, outcome, instant);
         }
     }
 
