--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -207,7 +207,7 @@
     match reservation.target() {
         Target::Upstream(upstream) => {
             if let Some(load) = meta.load {
-                state.place().reported(upstream, load, Instant::now());
+                state.place().record_report(upstream, load, Instant::now());
             }
         }
         Target::Vm(region, _) => record_outlook(state, region, job, &response),
@@ -255,7 +255,7 @@
         headers::parse_outlook(response.headers()).or(refuses.then_some(REJECTED_OUTLOOK));
     if let Some(outlook) = outlook {
         let about = (job.service.as_str(), job.urgent);
-        state.regions().told(region, about, outlook, Instant::now());
+        state.regions().record_outlook(region, about, outlook, Instant::now());
     }
 }
 
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -18,11 +18,11 @@
 use super::receive::STARTUP_WAIT_FRACTION;
 use super::reservation::Reservation;
 use super::reservation::Target;
-use crate::decide::place::Demand;
-use crate::decide::place::Fit;
+use crate::decide::place;
 use crate::decide::place::Holder;
-use crate::decide::place::Offer;
-use crate::decide::place::Passage;
+use crate::decide::place::Query;
+use crate::decide::place::RegionCandidate;
+use crate::decide::place::RegionQuery;
 use crate::decide::place::Work;
 use crate::decide::place::wait;
 use crate::decide::quota;
@@ -112,30 +112,30 @@
 
 /// The target of the next attempt.
 enum Placement {
-    Local(Fit),
-    Remote { vm: id::Vm, address: SocketAddr, offer: Offer },
+    Local(place::Placement),
+    Remote { vm: id::Vm, address: SocketAddr, offer: RegionCandidate },
 }
 
 impl Placement {
     const fn expected(&self) -> Duration {
         match self {
-            Self::Local(fit) => fit.expected,
-            Self::Remote { offer, .. } => offer.expected,
+            Self::Local(fit) => fit.first_event,
+            Self::Remote { offer, .. } => offer.first_event,
         }
     }
 
     /// The expected time to the last event.
     const fn expected_total(&self) -> Duration {
         match self {
-            Self::Local(fit) => fit.whole,
-            Self::Remote { offer, .. } => offer.whole,
+            Self::Local(fit) => fit.last_event,
+            Self::Remote { offer, .. } => offer.last_event,
         }
     }
 
     /// Prompt tokens that the upstream has to read; none for remote targets.
     fn prompt_tokens(&self) -> Option<u64> {
         match self {
-            Self::Local(fit) => Some(fit.reads.get()),
+            Self::Local(fit) => Some(fit.prefill.get()),
             Self::Remote { .. } => None,
         }
     }
@@ -152,7 +152,7 @@
     /// used.
     fn load_age_ms(&self) -> Option<u64> {
         match self {
-            Self::Local(fit) => fit.told.map(|age| age.as_millis() as u64),
+            Self::Local(fit) => fit.load_age.map(|age| age.as_millis() as u64),
             Self::Remote { .. } => None,
         }
     }
@@ -300,7 +300,7 @@
     fn max_wait(&self) -> Duration {
         let route = &self.job.route;
         match route.kind.is_stream() {
-            true => wait::longest(route.objective, self.job.urgent),
+            true => wait::limit(route.objective, self.job.urgent),
             false => Duration::MAX,
         }
     }
@@ -370,7 +370,7 @@
         let (target, held, address) = match placement {
             Placement::Local(fit) => {
                 self.tried.push(fit.id.clone());
-                let held = self.state.place().sent(fit, &self.work, Instant::now());
+                let held = self.state.place().record_sent(fit, &self.work, Instant::now());
                 (Target::Upstream(fit.id.clone()), Some(held), fit.address)
             }
             Placement::Remote { vm, address, .. } => {
@@ -384,8 +384,8 @@
             "whole_ms" => placement.expected_total().as_millis() as u64,
             "beside" => placement.running(), "told_ms" => placement.load_age_ms(),
             "reads" => placement.prompt_tokens(),
-            "own" => self.work.own.get(),
-            "shared" => self.work.shared.map(|shared| format!("{:x}", shared.key)));
+            "own" => self.work.suffix.get(),
+            "shared" => self.work.prefix.map(|shared| format!("{:x}", shared.key)));
         (Reservation::new(self.state.clone(), target, service, held), address)
     }
 
@@ -410,20 +410,22 @@
         let urgent = self.job.urgent;
         let longest = self.job.deadline.saturating_duration_since(now).min(self.max_wait());
         let (work, bytes) = (self.work, self.job.body.len());
-        let passage = Passage { service, work, urgent, bytes, longest, allows: &allows };
+        let passage =
+            RegionQuery { service, work, urgent, bytes, max_wait: longest, allows: &allows };
         let is_home = is_home(&self.state.node().region);
-        let shared = self.work.shared.filter(|_| is_home);
-        let weight = shared.and_then(|shared| self.state.place().weight(service, &shared));
+        let shared = self.work.prefix.filter(|_| is_home);
+        let weight =
+            shared.and_then(|shared| self.state.place().rendezvous_weight(service, &shared));
         let holder = self.state.regions().holder(&passage, weight, now);
-        let holds = holder == Holder::Here;
+        let holds_prefix = holder == Holder::Local;
         let tried = &self.tried;
-        let demand = Demand { service, work, tried, holds, urgent, longest };
+        let demand = Query { service, work, tried, holds_prefix, urgent, max_wait: longest };
         let here = if is_home { self.state.place().choose(&demand, now) } else { None };
         let offers = match self.job.hop {
             Hop::Ingress => {
                 let spread = || Duration::from_micros(self.state.random() % OFFER_JITTER_MICROS);
-                let usual = self.state.place().usual(service);
-                self.state.regions().offers(&passage, &holder, &usual, spread, now)
+                let usual = self.state.place().profile(service);
+                self.state.regions().candidates(&passage, &holder, &usual, spread, now)
             }
             Hop::Forwarded => Vec::new(),
         };
@@ -433,7 +435,10 @@
     }
 
     /// The first of the offered regions that has an available VM.
-    fn first_reachable(&self, mut offers: impl Iterator<Item = Offer>) -> Option<Placement> {
+    fn first_reachable(
+        &self,
+        mut offers: impl Iterator<Item = RegionCandidate>,
+    ) -> Option<Placement> {
         offers.find_map(|offer| {
             let (vm, address) = self.state.random_vm_in(&offer.region, &self.tried_vms)?;
             Some(Placement::Remote { vm, address, offer })
@@ -464,8 +469,8 @@
             "route" => &route.name, "rank" => self.job.rank, "target" => ?placement.target(),
             "expected_ms" => placement.expected().as_millis() as u64,
             "longest_ms" => max_wait.as_millis() as u64,
-            "own_tokens" => self.work.own.get(),
-            "shared_tokens" => self.work.shared.map(|shared| shared.tokens.get()));
+            "own_tokens" => self.work.suffix.get(),
+            "shared_tokens" => self.work.prefix.map(|shared| shared.tokens.get()));
     }
 
     fn log(&self, event: &'static str, reason: &'static str) {
--- a/src/gateway/reservation.rs
+++ b/src/gateway/reservation.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 use super::State;
-use crate::decide::place::Held;
+use crate::decide::place::InFlight;
 use crate::decide::place::Outcome;
 use crate::id;
 
@@ -23,14 +23,14 @@
     state: Arc<State>,
     target: Target,
     service: String,
-    held: Option<Held>,
+    held: Option<InFlight>,
     outcome: Outcome,
 }
 
 impl Reservation {
     /// Creates a reservation. If it is dropped before it is completed, the request counts as
     /// abandoned.
-    pub fn new(state: Arc<State>, target: Target, service: &str, held: Option<Held>) -> Self {
+    pub fn new(state: Arc<State>, target: Target, service: &str, held: Option<InFlight>) -> Self {
         let outcome = Outcome::Abandoned;
         Self { state, target, service: service.to_owned(), held, outcome }
     }
@@ -43,7 +43,7 @@
     /// Records an event of the response, or a complete response.
     pub fn record_event(&mut self) {
         if let Some(held) = &mut self.held {
-            self.state.place().event(held, Instant::now());
+            self.state.place().record_event(held, Instant::now());
         }
     }
 
@@ -58,10 +58,10 @@
         let now = Instant::now();
         match (&self.target, self.held.take()) {
             (Target::Upstream(_), Some(held)) => {
-                self.state.place().ended(held, self.outcome, now);
+                self.state.place().record_end(held, self.outcome, now);
             }
             (Target::Vm(region, _), _) => {
-                self.state.regions().ended(region, &self.service, self.outcome, now);
+                self.state.regions().record_end(region, &self.service, self.outcome, now);
             }
             (Target::Upstream(_), None) => (),
         }
--- a/src/gateway/sharing.rs
+++ b/src/gateway/sharing.rs
@@ -187,12 +187,12 @@
         }
         let (loads, used) = {
             let mut place = state.place();
-            (place.loads(shard, now), place.uses(shard))
+            (place.loads(shard, now), place.take_uses(shard))
         };
         let mut update = self.update(shard, turn.number, loads, used);
         update.quotas = state.meter().counts(shard, now);
         if shard == REMOTES {
-            update.remotes = state.regions().news(now);
+            update.remotes = state.regions().take_outlooks(now);
         }
         let own_vm = state.node().vm();
         if turn.host == own_vm {
@@ -302,8 +302,8 @@
         if let Some(parts) = &summary.quotas {
             state.meter().told(summary.shard, parts, now);
         }
-        state.place().told(&summary, now);
-        state.regions().told_by_host(&summary.remotes, now);
+        state.place().apply_summary(&summary, now);
+        state.regions().apply_remotes(&summary.remotes, now);
     }
 
     async fn send(&self, to: SocketAddr, message: &Message) {
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -29,7 +29,7 @@
 use crate::decide::freshness;
 use crate::decide::freshness::Freshness;
 use crate::decide::freshness::Proof;
-use crate::decide::place::Place;
+use crate::decide::place::Balancer;
 use crate::decide::place::Regions;
 use crate::decide::quota::Meter;
 use crate::decide::retry::repeats::RepeatLimit;
@@ -81,7 +81,7 @@
     adapter: Arc<dyn Adapter>,
     routing: Mutex<Routing>,
     merged: Mutex<Merged>,
-    place: Mutex<Place>,
+    place: Mutex<Balancer>,
     regions: Mutex<Regions>,
     freshness: Mutex<Freshness>,
     meter: Mutex<Meter>,
@@ -142,7 +142,7 @@
             adapter,
             routing: Mutex::default(),
             merged: Mutex::default(),
-            place: Mutex::new(Place::new(SmallRng::from_rng(&mut rng))),
+            place: Mutex::new(Balancer::new(SmallRng::from_rng(&mut rng))),
             regions: Mutex::default(),
             freshness: Mutex::default(),
             meter: Mutex::new(Meter::new(SmallRng::from_rng(&mut rng), excess)),
@@ -220,7 +220,7 @@
         self.routing.lock().expect("no panic while locked").clone()
     }
 
-    pub(super) fn place(&self) -> MutexGuard<'_, Place> {
+    pub(super) fn place(&self) -> MutexGuard<'_, Balancer> {
         self.place.lock().expect("no panic while locked")
     }
 
--- a/src/gateway/state/upstreams.rs
+++ b/src/gateway/state/upstreams.rs
@@ -6,9 +6,9 @@
 
 use super::State;
 use crate::decide::place::Cold;
-use crate::decide::place::Open;
-use crate::decide::place::Seen;
-use crate::decide::place::Share;
+use crate::decide::place::Endpoint;
+use crate::decide::place::OpenUpstreams;
+use crate::decide::place::Sender;
 use crate::id;
 use crate::roster::Merged;
 use crate::roster::Standing;
@@ -27,13 +27,13 @@
         let own_vm = self.node.vm();
         let names: BTreeSet<&id::Vm> = senders.map(|vm| &vm.vm).chain([&own_vm]).collect();
         let rank = names.iter().take_while(|name| ***name < own_vm).count();
-        let share = Share::new(rank as u32, names.len() as u32);
+        let share = Sender::new(rank as u32, names.len() as u32);
         let local = merged.upstreams().filter(|upstream| {
             self.node.region_of(&upstream.said.data_centre) == Some(&self.node.region)
         });
         let seen = local.map(|upstream| {
             let is_evacuated = routing.evacuated.contains(&upstream.said.data_centre);
-            to_seen(upstream, table.service(&upstream.said.service), is_evacuated, share.senders())
+            to_seen(upstream, table.service(&upstream.said.service), is_evacuated, share.count())
         });
         let seen = seen.collect();
         let remote = self.remote_upstreams(&merged, &routing.evacuated);
@@ -50,8 +50,8 @@
         &self,
         merged: &Merged,
         evacuated: &BTreeSet<id::DataCentre>,
-    ) -> HashMap<String, Open> {
-        let mut remote: HashMap<String, Open> = HashMap::new();
+    ) -> HashMap<String, OpenUpstreams> {
+        let mut remote: HashMap<String, OpenUpstreams> = HashMap::new();
         for upstream in merged.upstreams() {
             let said = &upstream.said;
             let is_available = said.standing == Standing::Ready
@@ -76,15 +76,15 @@
     service: Option<&Arc<Service>>,
     is_evacuated: bool,
     senders: u32,
-) -> Seen {
+) -> Endpoint {
     let said = &upstream.said;
     let connections = service.map_or(u32::MAX, |service| (service.connections / senders).max(1));
     let rate = service.and_then(|service| service.cold_rate);
     let cold = rate.map(|rate| Cold { until: upstream.cold_until, rate });
     let engine = service.and_then(|service| service.engine.as_ref());
-    Seen {
+    Endpoint {
         id: said.id.clone(),
-        born: said.stamp.born,
+        incarnation: said.stamp.born,
         service: said.service.clone(),
         address: said.address,
         slots: said.slots,
