--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -168,7 +168,7 @@
         for digest in &digests[number..number + SLOTS as usize] {
             quarantine.started(*digest, upstream, now);
         }
-        quarantine.died(upstream, Incarnation::new(1), now);
+        quarantine.crashed(upstream, Incarnation::new(1), now);
     }
     let later = now + Duration::from_secs(1);
     let mut next = (0..OWNERS).cycle();
@@ -176,7 +176,7 @@
         b.iter(|| {
             let number = next.next().unwrap_or(0);
             let (digest, upstream) = (digests[number], &upstreams[number * 31 % UPSTREAMS]);
-            black_box(quarantine.standing(&digest, later));
+            black_box(quarantine.status(&digest, later));
             if quarantine.may_start(&digest, upstream) {
                 quarantine.started(digest, upstream, later);
                 quarantine.stopped(&digest, upstream);
--- a/src/decide/quarantine.rs
+++ b/src/decide/quarantine.rs
@@ -1,16 +1,13 @@
-//! Which requests are not run again because upstreams die of them.
+//! Quarantine of requests that crash upstreams.
 //!
-//! **Load pattern.** A single request crashes each upstream that runs it, and its caller, who got no answer, sends it
-//! again. Beside it run innocent requests, and upstreams crash for other reasons as well, sometimes many at once.
+//! A request that crashes the upstream running it is sent again by its caller, and could take down a region's upstreams
+//! one after the other. But upstreams also crash for other reasons, and refusing every request that ran on two crashed
+//! upstreams would refuse innocent ones.
 //!
-//! **Without it.** One such request takes the upstreams of a region down one after the other, as fast as they
-//! come back. If whatever ran on two crashed upstreams is refused instead, a burst of ordinary crashes gets
-//! innocent requests refused: those are resent, and meet the next crash.
-//!
-//! **Decision.** When an upstream dies, every request that ran there becomes a suspect. A suspect runs again only where
-//! no other suspect runs, so that a second death tells which of them it was; an answer clears it. It is convicted
-//! when ordinary crashes are unlikely to explain its deaths: with few crashes around, the second death does.
-//! The VMs of a region share what each of them saw; a digest stands for the request and is kept in the region.
+//! When an upstream crashes, every request that ran there becomes a suspect. A suspect runs only where no other suspect
+//! runs, so that a second crash shows which of them caused it; an answer clears it. A request is quarantined when other
+//! crashes are unlikely to explain its own: with few crashes around, the second one suffices. The VMs of a region share
+//! what they observe; requests are identified by a digest.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -21,115 +18,113 @@
 use crate::id;
 use crate::unit::Incarnation;
 
+mod crash_log;
 mod digest;
-mod evidence;
 mod message;
 
 pub use digest::Digest;
-pub use message::Charge;
+pub use message::CrashRecord;
 pub use message::Report;
 
-use evidence::Evidence;
+use crash_log::CrashLog;
 
-/// How long a convicted request is refused. Derived: it costs two upstreams to convict it again, and an
-/// operator who mends the upstreams need not tell anybody.
-const SENTENCE: Duration = Duration::from_secs(1_800);
+/// How long a request is quarantined. It ends by itself, so that an operator who fixes the upstreams need not lift it.
+const QUARANTINE_DURATION: Duration = Duration::from_secs(1_800);
 
-/// How long a death is not judged, so that the charges of all VMs have come in.
+/// How long to wait for the other VMs' reports before a crash is evaluated.
 ///
-/// A VM that judges by its own part alone takes its suspect for the only one that ran there, and convicts an innocent
-/// request that ran beside another VM's killer. Derived: twice the time of a message within a region, generously.
-const SETTLING: Duration = Duration::from_millis(250);
+/// Without them an innocent request could look like the only suspect, although another VM's request ran there too.
+const REPORT_DELAY: Duration = Duration::from_millis(250);
 
-/// How a request stands.
+/// The status of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Standing {
-    /// Nothing is held against it.
+pub enum Status {
+    /// No upstream has crashed while running it.
     Clear,
-    /// An upstream died under it: it runs only where [`Quarantine::may_start`] allows, and better not on these.
+    /// An upstream crashed while running it. It may start where [`Quarantine::may_start`] allows, preferably not on these.
     Suspect {
-        /// Upstreams that died under it.
+        /// Upstreams that crashed while running it.
         avoid: Vec<id::Upstream>,
     },
-    /// Its second or a later death has not been judged yet: it starts nowhere for so long.
-    Held {
-        /// The rest of the time.
-        left: Duration,
+    /// Its second or a later crash hasn't been evaluated yet; it must not start.
+    Pending {
+        /// The time left.
+        time_left: Duration,
     },
-    /// It is refused for so long; it did run before, but not this time.
-    Convicted {
-        /// The rest of the time.
-        left: Duration,
+    /// It must be refused. It ran before, but not this time.
+    Quarantined {
+        /// The time left.
+        time_left: Duration,
     },
 }
 
-/// One VM's view of the requests that upstreams of its region died under.
+/// One VM's view of the requests that may have crashed upstreams of its region.
 #[derive(Debug, Default)]
 pub struct Quarantine {
-    evidence: Evidence,
-    convicted: HashMap<Digest, Instant>,
+    log: CrashLog,
+    quarantined: HashMap<Digest, Instant>,
     running: HashMap<id::Upstream, Vec<(Digest, Instant)>>,
     cleared: HashMap<Digest, Instant>,
-    unjudged: BTreeSet<(Instant, Digest)>,
+    pending: BTreeSet<(Instant, Digest)>,
     upstreams: usize,
 }
 
 impl Quarantine {
-    /// Nothing is known yet of so many upstreams in the region.
+    /// Creates an empty quarantine for a region with this many upstreams.
     pub fn new(upstreams: usize) -> Self {
         Self { upstreams, ..Self::default() }
     }
 
-    /// The region has so many upstreams now.
+    /// Updates the number of upstreams in the region.
     pub fn set_upstreams(&mut self, upstreams: usize) {
         self.upstreams = upstreams;
     }
 
-    /// How a request stands.
-    pub fn standing(&mut self, digest: &Digest, now: Instant) -> Standing {
-        self.judge(now);
-        if let Some(&until) = self.convicted.get(digest)
+    /// The status of a request.
+    pub fn status(&mut self, digest: &Digest, now: Instant) -> Status {
+        self.evaluate(now);
+        if let Some(&until) = self.quarantined.get(digest)
             && now < until
         {
-            return Standing::Convicted { left: until - now };
+            return Status::Quarantined { time_left: until - now };
         }
-        if !self.evidence.is_suspect(digest) {
-            return Standing::Clear;
+        if !self.log.is_suspect(digest) {
+            return Status::Clear;
         }
-        let avoid: Vec<id::Upstream> = self.evidence.upstreams(digest).cloned().collect();
-        let unjudged = self.unjudged.iter().find(|(_, other)| other == digest);
-        match unjudged {
-            Some((due, _)) if avoid.len() > 1 => Standing::Held { left: *due - now },
-            _ => Standing::Suspect { avoid },
+        let avoid: Vec<id::Upstream> = self.log.upstreams(digest).cloned().collect();
+        let pending = self.pending.iter().find(|(_, other)| other == digest);
+        match pending {
+            Some((due, _)) if avoid.len() > 1 => Status::Pending { time_left: *due - now },
+            _ => Status::Suspect { avoid },
         }
     }
 
-    /// Whether a request may start on this upstream: a suspect only where this VM runs no other suspect.
+    /// Whether a request may start on this upstream; a suspect may not if this VM runs another suspect there.
     pub fn may_start(&self, digest: &Digest, upstream: &id::Upstream) -> bool {
-        if !self.evidence.is_suspect(digest) {
+        if !self.log.is_suspect(digest) {
             return true;
         }
         let running = self.running.get(upstream).into_iter().flatten();
-        running.into_iter().all(|(other, _)| !self.evidence.is_suspect(other))
+        running.into_iter().all(|(other, _)| !self.log.is_suspect(other))
     }
 
-    /// A request was sent to an upstream.
+    /// Records that a request was sent to an upstream.
     pub fn started(&mut self, digest: Digest, upstream: &id::Upstream, now: Instant) {
         self.running.entry(upstream.clone()).or_default().push((digest, now));
     }
 
-    /// A request was answered whole; a suspect is cleared by that, and the report tells the other VMs.
+    /// Records a complete answer, which clears a suspect; the report is for the other VMs of the region.
     pub fn answered(&mut self, digest: &Digest, upstream: &id::Upstream, now: Instant) -> Report {
         self.stopped(digest, upstream);
-        if !self.evidence.is_suspect(digest) {
+        if !self.log.is_suspect(digest) {
             return Report::default();
         }
-        let report = Report { charges: Vec::new(), cleared: vec![*digest] };
+        let report = Report { crashes: Vec::new(), cleared: vec![*digest] };
         self.merge(&report, now);
         report
     }
 
-    /// A request ended in another way that says nothing about it, such as a cancellation.
+    /// Records that a request ended without evidence for or against it, such as by cancellation.
     pub fn stopped(&mut self, digest: &Digest, upstream: &id::Upstream) {
         let Some(running) = self.running.get_mut(upstream) else { return };
         if let Some(index) = running.iter().position(|(other, _)| other == digest) {
@@ -140,15 +135,15 @@
         }
     }
 
-    /// An upstream died, with all requests that ran there; the report tells the other VMs.
-    pub fn died(
+    /// Records a crash of an upstream; the report is for the other VMs of the region.
+    pub fn crashed(
         &mut self,
         upstream: &id::Upstream,
         incarnation: Incarnation,
         now: Instant,
     ) -> Report {
         let running = self.running.remove(upstream).unwrap_or_default();
-        let charge = |(digest, started): (Digest, Instant)| Charge {
+        let record = |(digest, started): (Digest, Instant)| CrashRecord {
             digest,
             upstream: upstream.clone(),
             incarnation,
@@ -156,49 +151,46 @@
             age: Duration::ZERO,
         };
         let report =
-            Report { charges: running.into_iter().map(charge).collect(), cleared: Vec::new() };
+            Report { crashes: running.into_iter().map(record).collect(), cleared: Vec::new() };
         self.merge(&report, now);
         report
     }
 
-    /// Takes in what another VM of the region saw.
+    /// Merges a report of another VM of the region.
     pub fn merge(&mut self, report: &Report, now: Instant) {
         self.expire(now);
         for digest in &report.cleared {
-            self.evidence.clear(digest);
+            self.log.clear(digest);
             self.cleared.insert(*digest, now);
         }
-        for charge in &report.charges {
-            let happened = now.checked_sub(charge.age).unwrap_or(now);
-            if self.cleared.get(&charge.digest).is_none_or(|&cleared| cleared < happened) {
-                self.evidence.add(charge, now);
-                self.unjudged.insert((now + SETTLING, charge.digest));
+        for record in &report.crashes {
+            let crashed_at = now.checked_sub(record.age).unwrap_or(now);
+            if self.cleared.get(&record.digest).is_none_or(|&cleared| cleared < crashed_at) {
+                self.log.add(record, now);
+                self.pending.insert((now + REPORT_DELAY, record.digest));
             }
         }
     }
 
-    fn judge(&mut self, now: Instant) {
-        while self.unjudged.first().is_some_and(|(due, _)| *due <= now) {
-            let Some((_, digest)) = self.unjudged.pop_first() else { return };
-            let later_death = self.unjudged.iter().any(|(_, other)| *other == digest);
-            if !later_death && self.evidence.convicts(&digest, self.upstreams) {
-                self.convicted.insert(digest, now + SENTENCE);
+    fn evaluate(&mut self, now: Instant) {
+        while self.pending.first().is_some_and(|(due, _)| *due <= now) {
+            let Some((_, digest)) = self.pending.pop_first() else { return };
+            let later_crash = self.pending.iter().any(|(_, other)| *other == digest);
+            if !later_crash && self.log.is_culprit(&digest, self.upstreams) {
+                self.quarantined.insert(digest, now + QUARANTINE_DURATION);
             }
         }
     }
 
-    /// Everything that is known, for a VM that has just started.
+    /// A report of everything known, for a VM that has just started.
     pub fn report(&self, now: Instant) -> Report {
-        Report {
-            charges: self.evidence.charges(now),
-            cleared: self.cleared.keys().copied().collect(),
-        }
+        Report { crashes: self.log.crashes(now), cleared: self.cleared.keys().copied().collect() }
     }
 
     fn expire(&mut self, now: Instant) {
-        self.evidence.expire(now);
-        self.convicted.retain(|_, until| now < *until);
-        self.cleared.retain(|_, cleared| now < *cleared + SENTENCE);
+        self.log.expire(now);
+        self.quarantined.retain(|_, until| now < *until);
+        self.cleared.retain(|_, cleared| now < *cleared + QUARANTINE_DURATION);
     }
 }
 
--- a/src/decide/quarantine/digest.rs
+++ b/src/decide/quarantine/digest.rs
@@ -1,4 +1,4 @@
-//! What a request is recognised by when it is sent again.
+//! Digests that identify resent requests.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,9 +10,7 @@
 
 use crate::id;
 
-/// A digest of everything that an upstream sees of a request.
-///
-/// It stands for the body, which never leaves the VM for it; 128 bits leave no room for chance collisions.
+/// A 128-bit digest of the entry and body of a request, shared between VMs in place of the body.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, SerializeDisplay, DeserializeFromStr,
 )]
--- a/src/decide/quarantine/message.rs
+++ b/src/decide/quarantine/message.rs
@@ -1,4 +1,4 @@
-//! What the VMs of a region tell each other about deaths of upstreams.
+//! Crash reports between the VMs of a region.
 
 use std::time::Duration;
 
@@ -11,37 +11,38 @@
 use crate::id;
 use crate::unit::Incarnation;
 
-/// A request ran on an upstream when that died.
+/// A request that was running on an upstream when it crashed.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Charge {
+pub struct CrashRecord {
     /// The request.
     pub digest: Digest,
     /// The upstream.
     pub upstream: id::Upstream,
-    /// Which life of the upstream ended.
+    /// The incarnation of the upstream that crashed.
     pub incarnation: Incarnation,
     /// How long the request had run there.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub ran: Duration,
-    /// How long ago that was; no two clocks are compared.
+    /// How long ago it crashed; an age, so that clocks of different VMs aren't compared.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub age: Duration,
 }
 
-/// Charges, and requests that have since been answered whole. Merging a report twice changes nothing.
+/// Crashes, and requests that have since been answered completely. Merging is idempotent.
 #[serde_as]
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Requests that ran where upstreams died.
-    pub charges: Vec<Charge>,
-    /// Requests that an upstream survived.
+    /// Requests that were running on upstreams that crashed.
+    #[serde(rename = "charges")]
+    pub crashes: Vec<CrashRecord>,
+    /// Requests that were answered completely.
     pub cleared: Vec<Digest>,
 }
 
 impl Report {
-    /// Whether there is nothing to tell.
+    /// Whether the report is empty.
     pub fn is_empty(&self) -> bool {
-        self.charges.is_empty() && self.cleared.is_empty()
+        self.crashes.is_empty() && self.cleared.is_empty()
     }
 }
--- a/src/decide/quarantine/tests.rs
+++ b/src/decide/quarantine/tests.rs
@@ -10,7 +10,7 @@
     format!("upstream-{number}").parse().expect("a name")
 }
 
-/// Runs these requests on an upstream for a while; then it dies.
+/// Runs these requests on an upstream until it crashes.
 fn crash(
     quarantine: &mut Quarantine,
     number: usize,
@@ -21,40 +21,35 @@
     for text in texts {
         quarantine.started(digest(text), &upstream(number), now);
     }
-    quarantine.died(&upstream(number), Incarnation::new(1), now + ran)
+    quarantine.crashed(&upstream(number), Incarnation::new(1), now + ran)
 }
 
-fn is_convicted(quarantine: &mut Quarantine, text: &str, now: Instant) -> bool {
-    matches!(quarantine.standing(&digest(text), now), Standing::Convicted { .. })
+fn is_quarantined(quarantine: &mut Quarantine, text: &str, now: Instant) -> bool {
+    matches!(quarantine.status(&digest(text), now), Status::Quarantined { .. })
 }
 
 #[test]
-fn second_death_convicts_the_request_and_not_those_beside_it() {
-    // A request kills an upstream with seven innocent ones on it; all eight are sent again, each apart from the others.
-    // It kills the second upstream too, beside requests that are there for the first time.
-    // It alone is refused from now on; the others are answered and cleared.
+fn second_crash_quarantines_only_its_cause() {
+    // Guards against quarantining requests that ran beside the one that crashes upstreams.
     let now = Instant::now();
     let mut quarantine = Quarantine::new(18);
-    crash(&mut quarantine, 0, &["killer", "a", "b", "c"], now, SECOND);
-    assert_eq!(
-        quarantine.standing(&digest("a"), now),
-        Standing::Suspect { avoid: vec![upstream(0)] }
-    );
+    crash(&mut quarantine, 0, &["crasher", "a", "b", "c"], now, SECOND);
+    assert_eq!(quarantine.status(&digest("a"), now), Status::Suspect { avoid: vec![upstream(0)] });
     let later = now + 5 * SECOND;
-    crash(&mut quarantine, 1, &["killer", "d", "e"], later, SECOND);
+    crash(&mut quarantine, 1, &["crasher", "d", "e"], later, SECOND);
     assert!(matches!(
-        quarantine.standing(&digest("killer"), later + SECOND),
-        Standing::Held { .. }
+        quarantine.status(&digest("crasher"), later + SECOND),
+        Status::Pending { .. }
     ));
     let later = later + 2 * SECOND;
     for text in ["a", "b", "c", "d", "e"] {
-        assert!(!is_convicted(&mut quarantine, text, later), "{text}");
+        assert!(!is_quarantined(&mut quarantine, text, later), "{text}");
     }
-    assert!(is_convicted(&mut quarantine, "killer", later));
+    assert!(is_quarantined(&mut quarantine, "crasher", later));
 }
 
 #[test]
-fn suspects_run_apart() {
+fn suspects_run_on_separate_upstreams() {
     let now = Instant::now();
     let mut quarantine = Quarantine::new(18);
     crash(&mut quarantine, 0, &["a", "b"], now, SECOND);
@@ -65,9 +60,8 @@
 }
 
 #[test]
-fn many_crashes_around_call_for_more_deaths() {
-    // Nine of eighteen upstreams crash within a minute, for reasons of their own.
-    // A briefing that ran for half a minute on two of them has just been unlucky.
+fn unrelated_crashes_raise_the_number_required() {
+    // Guards against quarantining an innocent request when many upstreams crash for other reasons.
     let now = Instant::now();
     let mut quarantine = Quarantine::new(18);
     for number in 0..7 {
@@ -75,40 +69,40 @@
     }
     crash(&mut quarantine, 7, &["briefing"], now, 30 * SECOND);
     crash(&mut quarantine, 8, &["briefing"], now + 31 * SECOND, 28 * SECOND);
-    assert!(!is_convicted(&mut quarantine, "briefing", now + 60 * SECOND));
+    assert!(!is_quarantined(&mut quarantine, "briefing", now + 60 * SECOND));
 }
 
 #[test]
-fn answer_clears_and_a_late_report_charges_nothing_again() {
+fn answer_clears_and_a_late_report_is_ignored() {
     let now = Instant::now();
     let (mut here, mut there) = (Quarantine::new(18), Quarantine::new(18));
-    let charges = crash(&mut here, 0, &["a"], now, SECOND);
+    let crashes = crash(&mut here, 0, &["a"], now, SECOND);
     let later = now + 5 * SECOND;
     here.started(digest("a"), &upstream(1), later);
     let cleared = here.answered(&digest("a"), &upstream(1), later);
-    there.merge(&charges, now + SECOND);
+    there.merge(&crashes, now + SECOND);
     there.merge(&cleared, later);
-    let mut old = charges.clone();
-    old.charges[0].age = 4 * SECOND;
+    let mut old = crashes.clone();
+    old.crashes[0].age = 4 * SECOND;
     there.merge(&old, later);
     for quarantine in [&mut here, &mut there] {
-        assert_eq!(quarantine.standing(&digest("a"), later), Standing::Clear);
+        assert_eq!(quarantine.status(&digest("a"), later), Status::Clear);
     }
 }
 
 #[test]
-fn vms_of_a_region_convict_together_and_the_sentence_ends() {
-    // The caller sends the request to another VM after its first death; each VM sees one death only.
+fn vms_of_a_region_combine_reports_and_quarantine_ends() {
+    // Guards against missing the cause when each VM observes only one of its crashes.
     let now = Instant::now();
     let (mut here, mut there) = (Quarantine::new(18), Quarantine::new(18));
-    let first = crash(&mut here, 0, &["killer", "a"], now, SECOND);
+    let first = crash(&mut here, 0, &["crasher", "a"], now, SECOND);
     there.merge(&first, now + SECOND);
-    let second = crash(&mut there, 1, &["killer"], now + 2 * SECOND, SECOND / 2);
+    let second = crash(&mut there, 1, &["crasher"], now + 2 * SECOND, SECOND / 2);
     here.merge(&second, now + 3 * SECOND);
     let mut fresh = Quarantine::new(18);
     fresh.merge(&here.report(now + 4 * SECOND), now + 4 * SECOND);
     for quarantine in [&mut here, &mut there, &mut fresh] {
-        assert!(is_convicted(quarantine, "killer", now + 5 * SECOND));
-        assert!(!is_convicted(quarantine, "killer", now + 2_000 * SECOND));
+        assert!(is_quarantined(quarantine, "crasher", now + 5 * SECOND));
+        assert!(!is_quarantined(quarantine, "crasher", now + 2_000 * SECOND));
     }
 }
--- a/src/entry/dispatch/suspects.rs
+++ b/src/entry/dispatch/suspects.rs
@@ -3,7 +3,7 @@
 use tokio::time::Instant;
 
 use crate::decide::quarantine::Report;
-use crate::decide::quarantine::Standing;
+use crate::decide::quarantine::Status;
 use crate::entry::Dispatch;
 use crate::entry::Job;
 use crate::id;
@@ -11,13 +11,13 @@
 
 impl Dispatch {
     /// How a request stands that upstreams may have died of.
-    pub fn standing(&mut self, job: &Job, now: Instant) -> Standing {
-        self.quarantine.standing(&job.suspicion, now)
+    pub fn standing(&mut self, job: &Job, now: Instant) -> Status {
+        self.quarantine.status(&job.suspicion, now)
     }
 
     /// An upstream died, with all that ran there; the report is for the other VMs of the region.
     pub fn died(&mut self, upstream: &Announcement, now: Instant) -> Report {
-        self.quarantine.died(&upstream.id, upstream.incarnation, now)
+        self.quarantine.crashed(&upstream.id, upstream.incarnation, now)
     }
 
     /// A request was answered whole; the report is for the other VMs of the region.
--- a/src/entry/hub/region.rs
+++ b/src/entry/hub/region.rs
@@ -81,7 +81,7 @@
 
     /// Tells the VMs of the region what this one saw of upstreams that died; a report without content is not sent.
     pub fn tell(&self, report: &quarantine::Report) {
-        if report.charges.is_empty() && report.cleared.is_empty() {
+        if report.crashes.is_empty() && report.cleared.is_empty() {
             return;
         }
         let Some(mesh) = self.mesh() else { return };
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -14,7 +14,7 @@
 use tokio::time;
 use tokio::time::Instant;
 
-use crate::decide::quarantine::Standing;
+use crate::decide::quarantine::Status;
 use crate::decide::retry;
 use crate::decide::retry::Evidence;
 use crate::decide::retry::Layer;
@@ -354,16 +354,16 @@
 /// Refuses a request that upstreams die of, and else names those that died under it.
 async fn acquitted(hub: &Hub, job: &Job) -> Result<Vec<id::Upstream>, Refusal> {
     loop {
-        let standing = hub.dispatch().standing(job, Instant::now());
-        match standing {
-            Standing::Clear => return Ok(Vec::new()),
-            Standing::Suspect { avoid } => return Ok(avoid),
-            Standing::Held { left } => time::sleep(left).await,
-            Standing::Convicted { left } => {
+        let status = hub.dispatch().standing(job, Instant::now());
+        match status {
+            Status::Clear => return Ok(Vec::new()),
+            Status::Suspect { avoid } => return Ok(avoid),
+            Status::Pending { time_left } => time::sleep(time_left).await,
+            Status::Quarantined { time_left } => {
                 let text = "each upstream that ran this request died; it is not run again for now";
                 // It did run, by an earlier send or attempt.
                 let refusal = Refusal::new(Reason::Quarantined, text).with_ran(Ran::Unknown);
-                return Err(refusal.with_retry_after(left));
+                return Err(refusal.with_retry_after(time_left));
             }
         }
     }
--- a/tests/load/crashes.rs
+++ b/tests/load/crashes.rs
@@ -7,7 +7,7 @@
 use masticstream::decide::quarantine::Digest;
 use masticstream::decide::quarantine::Quarantine;
 use masticstream::decide::quarantine::Report;
-use masticstream::decide::quarantine::Standing;
+use masticstream::decide::quarantine::Status;
 use masticstream::id;
 use masticstream::unit::Incarnation;
 use rand::Rng;
@@ -225,10 +225,12 @@
         let vm = self.rng.random_range(0..VMS);
         let digest = self.requests[index].digest;
         let avoid = match self.standing(index, vm) {
-            Standing::Clear => Vec::new(),
-            Standing::Suspect { avoid } => avoid,
-            Standing::Held { left } => return self.agenda.after(left, Event::Ask(index)),
-            Standing::Convicted { .. } => {
+            Status::Clear => Vec::new(),
+            Status::Suspect { avoid } => avoid,
+            Status::Pending { time_left } => {
+                return self.agenda.after(time_left, Event::Ask(index));
+            }
+            Status::Quarantined { .. } => {
                 self.requests[index].convicted = true;
                 return;
             }
@@ -252,7 +254,7 @@
         }
     }
 
-    fn standing(&mut self, index: usize, vm: usize) -> Standing {
+    fn standing(&mut self, index: usize, vm: usize) -> Status {
         let deaths = self.deaths.get(&index).copied().unwrap_or_default();
         let refused = match self.rule {
             Rule::None => false,
@@ -260,10 +262,10 @@
             Rule::Weighed => deaths >= 1.0,
             Rule::Ours => {
                 let now = self.agenda.now();
-                return self.quarantines[vm].standing(&self.requests[index].digest, now);
+                return self.quarantines[vm].status(&self.requests[index].digest, now);
             }
         };
-        if refused { Standing::Convicted { left: END } } else { Standing::Clear }
+        if refused { Status::Quarantined { time_left: END } } else { Status::Clear }
     }
 
     /// The emptier of two upstreams that may take the request.
@@ -319,7 +321,7 @@
         lost.sort_by_key(|attempt| attempt.request);
         for vm in 0..VMS {
             let incarnation = Incarnation::new(self.incarnations[upstream]);
-            let report = self.quarantines[vm].died(&self.names[upstream], incarnation, now);
+            let report = self.quarantines[vm].crashed(&self.names[upstream], incarnation, now);
             self.tell(vm, report);
         }
         let part = if self.rule == Rule::Weighed { 1.0 / lost.len().max(1) as f64 } else { 1.0 };
