--- a/src/directory/service.rs
+++ b/src/directory/service.rs
@@ -293,7 +293,7 @@
             (roster, _) => roster,
         };
         // Before the routing state, which is at least as new as the proof says then.
-        let proof = self.freshness().proof().map(|proof| proof.tell(asked));
+        let proof = self.freshness().proof().map(|proof| proof.to_message(asked));
         let routing = self.routing.borrow().clone();
         let routing = (routing.revision > follow.routing).then_some(routing);
         let in_touch = *self.in_touch.borrow();
--- a/src/directory/service/proofs.rs
+++ b/src/directory/service/proofs.rs
@@ -20,7 +20,7 @@
     /// Takes a proof that there was no newer routing state.
     pub(in crate::directory) fn take_proof(&self, proof: Proof) {
         let held = self.routing.borrow().revision;
-        self.freshness().take(proof, held, clock::now());
+        self.freshness().observe(proof, held, clock::now());
     }
 
     /// Waits until this VM holds that revision of the routing state, or a later one.
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -161,7 +161,7 @@
     if let Some(routing) = followed.routing {
         hub.take_routing(routing);
     }
-    if let Some(proof) = followed.proof.and_then(|told| Proof::of(told, sent)) {
+    if let Some(proof) = followed.proof.and_then(|message| Proof::from_message(message, sent)) {
         hub.take_proof(proof);
     }
     if let Some(delta) = followed.roster {
--- a/src/gateway/hub.rs
+++ b/src/gateway/hub.rs
@@ -299,7 +299,7 @@
     /// Whether this VM may act by its document on what organisations' callers show.
     pub fn is_current(&self) -> bool {
         let Some(promised) = self.node.bounds.revocation else { return true };
-        self.freshness().is_within(freshness::usable(promised), clock::now())
+        self.freshness().is_within(freshness::max_proof_age(promised), clock::now())
     }
 
     pub(super) fn meter(&self) -> MutexGuard<'_, Meter> {
@@ -314,7 +314,7 @@
     pub fn take_proof(&self, proof: Proof) {
         let was_current = self.is_current();
         let held = self.routing().revision;
-        self.freshness().take(proof, held, clock::now());
+        self.freshness().observe(proof, held, clock::now());
         if !was_current && self.is_current() {
             info!(self.log, "routing.proven"; "revision" => %proof.revision,
                 "age_ms" => clock::now().saturating_duration_since(proof.at).as_millis() as u64);
--- a/src/wire/message.rs
+++ b/src/wire/message.rs
@@ -177,7 +177,7 @@
     pub in_touch: bool,
     /// The peer's proof that there was no newer routing state; none where it has none.
     #[serde(default)]
-    pub proof: Option<freshness::Told>,
+    pub proof: Option<freshness::ProofMessage>,
     /// The stamp and nonce under which the follower is known to the peer.
     pub known_as: Option<(Stamp, u64)>,
 }
