--- a/src/directory/service.rs
+++ b/src/directory/service.rs
@@ -304,7 +304,7 @@
             (roster, _) => roster,
         };
         // Read before the routing state, which is then at least as new as the proof.
-        let proof = self.freshness().proof().map(|proof| proof.tell(received_at));
+        let proof = self.freshness().proof().map(|proof| proof.to_message(received_at));
         let routing = self.routing.borrow().clone();
         let routing = (routing.revision > follow.routing).then_some(routing);
         let in_touch = *self.up_to_date.borrow();
--- a/src/directory/service/freshness.rs
+++ b/src/directory/service/freshness.rs
@@ -21,7 +21,7 @@
     /// Applies a proof that no newer routing state existed.
     pub(in crate::directory) fn apply_proof(&self, proof: Proof) {
         let revision = self.routing.borrow().revision;
-        self.freshness().take(proof, revision, clock::now());
+        self.freshness().observe(proof, revision, clock::now());
     }
 
     /// Waits until this VM holds at least the given revision of the routing state.
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -163,7 +163,7 @@
     if let Some(routing) = followed.routing {
         state.apply_routing(routing);
     }
-    if let Some(proof) = followed.proof.and_then(|told| Proof::of(told, sent)) {
+    if let Some(proof) = followed.proof.and_then(|message| Proof::from_message(message, sent)) {
         state.apply_proof(proof);
     }
     if let Some(delta) = followed.roster {
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -299,7 +299,7 @@
     /// Whether the document is recent enough to authenticate callers.
     pub fn is_fresh(&self) -> bool {
         let Some(promised) = self.node.bounds.revocation else { return true };
-        self.freshness().is_within(freshness::usable(promised), clock::now())
+        self.freshness().is_within(freshness::max_proof_age(promised), clock::now())
     }
 
     pub(super) fn meter(&self) -> MutexGuard<'_, Meter> {
@@ -314,7 +314,7 @@
     pub fn apply_proof(&self, proof: Proof) {
         let was_fresh = self.is_fresh();
         let revision = self.routing().revision;
-        self.freshness().take(proof, revision, clock::now());
+        self.freshness().observe(proof, revision, clock::now());
         if !was_fresh && self.is_fresh() {
             info!(self.log, "routing.proven"; "revision" => %proof.revision,
                 "age_ms" => clock::now().saturating_duration_since(proof.at).as_millis() as u64);
