--- a/src/decide/place.rs
+++ b/src/decide/place.rs
@@ -43,8 +43,8 @@
 use crate::decide::route::rendezvous;
 use crate::decide::sharing::Key;
 use crate::decide::sharing::Load;
+use crate::decide::sharing::PrefixUse;
 use crate::decide::sharing::Summary;
-use crate::decide::sharing::Use;
 use crate::id;
 use crate::unit::Slots;
 use crate::unit::Tokens;
@@ -170,7 +170,7 @@
     /// This VM's place among those that send to them.
     share: Share,
     /// Uses of shared parts that the other VMs have not been told.
-    uses: Vec<Use>,
+    uses: Vec<PrefixUse>,
 }
 
 impl Place {
@@ -230,9 +230,9 @@
     }
 
     /// Takes the uses of shared parts at the upstreams of a shard that the others have not been told.
-    pub fn uses(&mut self, shard: u8) -> Vec<Use> {
+    pub fn uses(&mut self, shard: u8) -> Vec<PrefixUse> {
         let (taken, left) =
-            self.uses.drain(..).partition(|used: &Use| used.engine.shard() == shard);
+            self.uses.drain(..).partition(|used: &PrefixUse| used.engine.shard() == shard);
         self.uses = left;
         taken
     }
@@ -292,7 +292,7 @@
             model.sent(fit.reads, now);
             tracked.sent(work, fit.reads, memory, self.share, now);
             let shared = work.shared.filter(|_| self.uses.len() < MOST_USES);
-            self.uses.extend(shared.map(|shared| Use {
+            self.uses.extend(shared.map(|shared| PrefixUse {
                 engine: tracked.key(),
                 part: shared.key,
                 tokens: shared.tokens.get(),
--- a/src/decide/place/regions.rs
+++ b/src/decide/place/regions.rs
@@ -31,7 +31,7 @@
 use super::model::Work;
 use super::seconds;
 use crate::decide::route::rendezvous;
-use crate::decide::sharing::Remote;
+use crate::decide::sharing::RegionEstimate;
 use crate::id;
 use crate::unit::Tokens;
 
@@ -138,9 +138,9 @@
     }
 
     /// What regions told this VM since this was asked last, for the other VMs of its region.
-    pub fn news(&mut self, now: Instant) -> Vec<Remote> {
+    pub fn news(&mut self, now: Instant) -> Vec<RegionEstimate> {
         let news = std::mem::take(&mut self.news).into_iter();
-        let news = news.map(|((region, service, urgent), (outlook, at))| Remote {
+        let news = news.map(|((region, service, urgent), (outlook, at))| RegionEstimate {
             region,
             service,
             urgent,
@@ -152,7 +152,7 @@
     }
 
     /// Takes what regions told the VMs of this one, on an average of late.
-    pub fn told_by_host(&mut self, remotes: &[Remote], now: Instant) {
+    pub fn told_by_host(&mut self, remotes: &[RegionEstimate], now: Instant) {
         for remote in remotes {
             let outlook = Outlook { wait: remote.wait, running: remote.running };
             let at = now.checked_sub(remote.age).unwrap_or(now);
--- a/src/decide/place/sample.rs
+++ b/src/decide/place/sample.rs
@@ -13,7 +13,7 @@
 use super::cold::Share;
 use super::model::Model;
 use super::tracked::Tracked;
-use crate::decide::sharing::ROUND;
+use crate::decide::sharing::UPDATE_INTERVAL;
 use crate::id;
 
 /// Two are far better than one drawn blindly, however old the loads are.
@@ -23,7 +23,7 @@
 const UNSEEN: f64 = 2.0;
 
 /// What is told is as old as this as a rule: a round until a host hears of it, and half of one until it tells.
-const AGE: Duration = ROUND.saturating_mul(3).checked_div(2).expect("two is not zero");
+const AGE: Duration = UPDATE_INTERVAL.saturating_mul(3).checked_div(2).expect("two is not zero");
 
 /// A candidate.
 pub type Candidate<'a> = (&'a id::Upstream, &'a Tracked);
--- a/src/decide/place/tracked/region.rs
+++ b/src/decide/place/tracked/region.rs
@@ -26,7 +26,7 @@
     pub fn told_age(&self, now: Instant) -> Option<Duration> {
         let (_, at) = self.others?;
         let age = now.saturating_duration_since(at);
-        (age < sharing::FRESH).then_some(age)
+        (age < sharing::SUMMARY_TTL).then_some(age)
     }
 
     /// Whether the VMs of the region share what they have there at present.
@@ -84,7 +84,7 @@
     /// requests wait until their time is over.
     pub(super) fn is_dark(&self, speed: &Speed, now: Instant) -> bool {
         let own = self.load(now);
-        let all = self.region(now).map_or(own, |others| own.with(others));
+        let all = self.region(now).map_or(own, |others| own.merge(others));
         let reads = speed.reading(all.unread_tokens as f64);
         let patience =
             DARK + Duration::try_from_secs_f64(DARK_READS * reads).unwrap_or(Duration::MAX);
--- a/src/decide/quota/balances.rs
+++ b/src/decide/quota/balances.rs
@@ -16,10 +16,10 @@
 use super::Lane;
 use super::Part;
 use super::flow::Flow;
-use crate::decide::sharing::KEPT;
-use crate::decide::sharing::ROUND;
 use crate::decide::sharing::SHARDS;
-use crate::decide::sharing::hosts::MISSED;
+use crate::decide::sharing::UPDATE_INTERVAL;
+use crate::decide::sharing::UPDATE_TTL;
+use crate::decide::sharing::hosts::MAX_UNANSWERED;
 use crate::id;
 use crate::routing::organisation::Allowance;
 
@@ -30,7 +30,7 @@
 const LEARNING: Duration = Duration::from_secs(1);
 
 /// What VMs let through between the last word to one host and the first to the next isn't counted by either.
-const UNSEEN: Duration = ROUND.saturating_mul(MISSED as u32);
+const UNSEEN: Duration = UPDATE_INTERVAL.saturating_mul(MAX_UNANSWERED as u32);
 
 /// A region that says nothing is taken to let as much through as before, for so long.
 const ASSUMED: Duration = Duration::from_secs(6);
@@ -187,7 +187,7 @@
         now: Instant,
     ) {
         let Some(told) = self.told.get_mut(usize::from(shard)) else { return };
-        let since = told.filter(|(_, last)| now.saturating_duration_since(*last) < KEPT);
+        let since = told.filter(|(_, last)| now.saturating_duration_since(*last) < UPDATE_TTL);
         *told = Some((since.map_or(now, |(since, _)| since), now));
         let source = self.vms.entry((vm.clone(), shard)).or_default();
         // A host that takes over doesn't know how much of a VM's count its predecessor knew.
--- a/src/decide/sharing/aggregator.rs
+++ b/src/decide/sharing/aggregator.rs
@@ -1,4 +1,4 @@
-//! A host: what the VMs of the region have told it.
+//! Host side: aggregates the updates of the region's VMs.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -6,40 +6,41 @@
 
 use tokio::time::Instant;
 
-use super::KEPT;
+use super::Cursor;
 use super::Key;
 use super::Load;
-use super::Position;
-use super::REMOTES;
+use super::PrefixUse;
+use super::REMOTES_SHARD;
 use super::SHARDS;
 use super::Summary;
+use super::UPDATE_TTL;
 use super::Update;
-use super::Use;
 use super::remotes::Remotes;
 use crate::id;
 
-/// Uses that are kept for VMs that have not heard of them: some seconds of a region's peak.
-const USES: usize = 512;
+/// Prefix uses retained for VMs that have not received them; covers some seconds at peak load.
+const MAX_RETAINED_USES: usize = 512;
 
-/// Uses in one summary at most, so that a VM that has just started gets no datagram of many kilobytes.
-const USES_AT_ONCE: usize = 48;
+/// Upper bound on the prefix uses in a summary, which bounds the datagram sent to a VM that has
+/// just started.
+const MAX_USES_PER_SUMMARY: usize = 48;
 
 #[derive(Debug)]
-struct Told {
+struct Received {
     update: Update,
     at: Instant,
 }
 
-/// The statements and uses of one shard.
+/// The updates and prefix uses of a shard.
 #[derive(Debug, Default)]
 struct Shard {
-    told: HashMap<id::Vm, Told>,
-    uses: VecDeque<Use>,
-    /// The number of the first one in `uses`.
-    first: u64,
+    received: HashMap<id::Vm, Received>,
+    uses: VecDeque<PrefixUse>,
+    /// Sequence number of the first element of `uses`.
+    first_number: u64,
 }
 
-/// What a VM has been told as a host.
+/// The updates that a VM has received as a host.
 #[derive(Debug)]
 pub struct Aggregator {
     start: u64,
@@ -48,69 +49,77 @@
 }
 
 impl Aggregator {
-    /// A host that has heard nothing yet; `start` tells it from its starts before.
+    /// Creates an aggregator; `start` identifies this start of the host.
     pub fn new(start: u64) -> Self {
         let shards = (0..SHARDS).map(|_| Shard::default()).collect();
         Self { start, shards, remotes: Remotes::default() }
     }
 
-    /// Takes a VM's statement, and answers with what the others have. An update that was overtaken by a later one changes
-    /// nothing, and is not answered.
-    pub fn take(&mut self, from: &id::Vm, mut update: Update, now: Instant) -> Option<Summary> {
+    /// Applies a VM's update and returns the summary of the other VMs. An update older than the
+    /// last one of that VM is ignored and not answered.
+    pub fn apply_update(
+        &mut self,
+        from: &id::Vm,
+        mut update: Update,
+        now: Instant,
+    ) -> Option<Summary> {
         let start = self.start;
         let shard = self.shards.get_mut(usize::from(update.shard))?;
-        shard.told.retain(|_, told| now.saturating_duration_since(told.at) < KEPT);
-        if shard.told.get(from).is_some_and(|told| told.update.is_after(&update)) {
+        shard
+            .received
+            .retain(|_, received| now.saturating_duration_since(received.at) < UPDATE_TTL);
+        if shard.received.get(from).is_some_and(|received| received.update.supersedes(&update)) {
             return None;
         }
         for remote in update.remotes.drain(..) {
-            self.remotes.take(remote, now);
+            self.remotes.update(remote, now);
         }
         let (number, index, known) = (update.number, update.shard, update.known);
-        let (uses, known) = shard.unknown(start, known);
-        shard.used(&update.uses);
-        shard.told.insert(from.clone(), Told { update, at: now });
-        let loads = shard.others(from, now).into_iter().collect();
-        let remotes = if index == REMOTES { self.remotes.told(now) } else { Vec::new() };
+        let (uses, known) = shard.uses_since(start, known);
+        shard.add_uses(&update.uses);
+        shard.received.insert(from.clone(), Received { update, at: now });
+        let loads = shard.sum_excluding(from, now).into_iter().collect();
+        let remotes = if index == REMOTES_SHARD { self.remotes.recent(now) } else { Vec::new() };
         let quotas = None;
         Some(Summary { shard: index, number, loads, quotas, uses, known, remotes })
     }
 }
 
 impl Update {
-    /// Whether it is the later one of two of the same start.
-    const fn is_after(&self, other: &Self) -> bool {
+    /// Whether it is `other` or a later update of the same start.
+    const fn supersedes(&self, other: &Self) -> bool {
         self.start == other.start && self.number >= other.number
     }
 }
 
 impl Shard {
-    /// The sums over all VMs but one.
-    fn others(&self, but: &id::Vm, now: Instant) -> BTreeMap<Key, Load> {
+    /// Sums the load over all VMs except one.
+    fn sum_excluding(&self, excluded: &id::Vm, now: Instant) -> BTreeMap<Key, Load> {
         let mut sums: BTreeMap<Key, Load> = BTreeMap::new();
-        for (_, told) in self.told.iter().filter(|(vm, _)| *vm != but) {
-            let age = now.saturating_duration_since(told.at);
-            for (key, load) in &told.update.loads {
+        for (_, received) in self.received.iter().filter(|(vm, _)| *vm != excluded) {
+            let age = now.saturating_duration_since(received.at);
+            for (key, load) in &received.update.loads {
                 let sum = sums.entry(*key).or_default();
-                *sum = sum.with(load.aged(age));
+                *sum = sum.merge(load.aged(age));
             }
         }
         sums
     }
 
-    fn used(&mut self, uses: &[Use]) {
+    fn add_uses(&mut self, uses: &[PrefixUse]) {
         self.uses.extend(uses);
-        let over = self.uses.len().saturating_sub(USES);
+        let over = self.uses.len().saturating_sub(MAX_RETAINED_USES);
         self.uses.drain(..over);
-        self.first += over as u64;
+        self.first_number += over as u64;
     }
 
-    /// The uses that a VM doesn't know, the newest ones where there are too many, and up to where it knows them then.
-    fn unknown(&self, host: u64, known: Position) -> (Vec<Use>, Position) {
-        let end = self.first + self.uses.len() as u64;
-        let next = if known.host == host { known.next.min(end) } else { self.first };
-        let from = next.max(self.first).max(end.saturating_sub(USES_AT_ONCE as u64));
-        let uses = self.uses.iter().skip((from - self.first) as usize).copied().collect();
-        (uses, Position { host, next: end })
+    /// The latest uses since a position, at most [`MAX_USES_PER_SUMMARY`], and the position after
+    /// them.
+    fn uses_since(&self, host: u64, known: Cursor) -> (Vec<PrefixUse>, Cursor) {
+        let end = self.first_number + self.uses.len() as u64;
+        let next = if known.host == host { known.next.min(end) } else { self.first_number };
+        let from = next.max(self.first_number).max(end.saturating_sub(MAX_USES_PER_SUMMARY as u64));
+        let uses = self.uses.iter().skip((from - self.first_number) as usize).copied().collect();
+        (uses, Cursor { host, next: end })
     }
 }
--- a/src/decide/sharing/hosts.rs
+++ b/src/decide/sharing/hosts.rs
@@ -1,4 +1,4 @@
-//! Which VM hosts a shard, as one VM sees it.
+//! Selects the host of each shard, from the point of view of one VM.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -6,32 +6,33 @@
 
 use tokio::time::Instant;
 
-use super::ROUND;
 use super::SHARDS;
 use super::Summary;
+use super::UPDATE_INTERVAL;
 use crate::decide::route::rendezvous;
 use crate::id;
 
-/// The VMs that may host a shard, by turns as the ones before are lost.
+/// Candidate hosts of a shard, tried in order.
 const CANDIDATES: usize = 3;
 
-/// After so many updates without an answer the next candidate is told instead: [`ROUND`] times this is the time for which a
-/// lost host leaves VMs to their own view.
-pub const MISSED: usize = 4;
+/// Unanswered updates after which the next candidate is used. Times [`UPDATE_INTERVAL`], this
+/// bounds how long VMs depend on their own view after a host fails.
+pub const MAX_UNANSWERED: usize = 4;
 
-/// A candidate that gave no answer is left alone for so long.
-const AWAY: Duration = Duration::from_secs(3);
+/// How long a candidate is skipped after it failed to answer.
+const RETRY_AFTER: Duration = Duration::from_secs(3);
 
-/// An answer to an update that is older than this is of no use: its host stood still meanwhile.
-const LATE: Duration = Duration::from_millis(400);
+/// Maximum age of the update that a summary answers. An older one means that the host was
+/// suspended.
+const MAX_ANSWER_AGE: Duration = Duration::from_millis(400);
 
 #[derive(Debug, Default)]
 struct Shard {
     candidates: Vec<id::Vm>,
-    away: HashMap<id::Vm, Instant>,
-    /// The updates without an answer, by number, and when each was sent.
-    open: VecDeque<(u64, Instant)>,
-    told: Option<id::Vm>,
+    skipped: HashMap<id::Vm, Instant>,
+    /// Unanswered updates: sequence number and time sent.
+    pending: VecDeque<(u64, Instant)>,
+    current: Option<id::Vm>,
 }
 
 /// The hosts of all shards.
@@ -41,25 +42,25 @@
     number: u64,
 }
 
-/// Where an update goes.
+/// The destination of an update.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Turn {
+pub struct Target {
     /// The host.
     pub host: id::Vm,
-    /// The update's number.
+    /// The sequence number of the update.
     pub number: u64,
-    /// The host that was told until now and gave no answer.
-    pub lost: Option<id::Vm>,
+    /// The previous host, if it has just been given up.
+    pub failed: Option<id::Vm>,
 }
 
 impl Hosts {
-    /// No VM is known yet.
+    /// Creates the selection without candidates.
     pub fn new() -> Self {
         Self { shards: (0..SHARDS).map(|_| Shard::default()).collect(), number: 0 }
     }
 
-    /// Takes in which VMs of the region may host.
-    pub fn sync(&mut self, vms: &[id::Vm]) {
+    /// Updates the candidates from the VMs of the region.
+    pub fn set_candidates(&mut self, vms: &[id::Vm]) {
         for (nth, shard) in self.shards.iter_mut().enumerate() {
             let named = vms.iter().map(|vm| (vm, vm.as_str()));
             let top = rendezvous::top(nth as u64, named, CANDIDATES);
@@ -67,37 +68,38 @@
         }
     }
 
-    /// The next update of a shard; none where no VM may host it.
-    pub fn next(&mut self, shard: u8, now: Instant) -> Option<Turn> {
+    /// The destination of the next update of a shard; `None` if no VM can host it.
+    pub fn next_target(&mut self, shard: u8, now: Instant) -> Option<Target> {
         let shard = self.shards.get_mut(usize::from(shard))?;
-        shard.away.retain(|_, until| now < *until);
-        let mut lost = None;
-        if shard.open.len() >= MISSED
-            && let Some(told) = shard.told.take()
+        shard.skipped.retain(|_, until| now < *until);
+        let mut failed = None;
+        if shard.pending.len() >= MAX_UNANSWERED
+            && let Some(current) = shard.current.take()
         {
-            shard.away.insert(told.clone(), now + AWAY);
-            shard.open.clear();
-            lost = Some(told);
+            shard.skipped.insert(current.clone(), now + RETRY_AFTER);
+            shard.pending.clear();
+            failed = Some(current);
         }
-        let host = shard.candidates.iter().find(|vm| !shard.away.contains_key(*vm))?.clone();
-        if shard.told.as_ref() != Some(&host) {
-            shard.open.clear();
+        let host = shard.candidates.iter().find(|vm| !shard.skipped.contains_key(*vm))?.clone();
+        if shard.current.as_ref() != Some(&host) {
+            shard.pending.clear();
         }
-        shard.told = Some(host.clone());
+        shard.current = Some(host.clone());
         self.number += 1;
-        shard.open.push_back((self.number, now));
-        Some(Turn { host, number: self.number, lost })
+        shard.pending.push_back((self.number, now));
+        Some(Target { host, number: self.number, failed })
     }
 
-    /// An answer came; whether it is of use.
-    pub fn answered(&mut self, from: &id::Vm, summary: &Summary, now: Instant) -> bool {
+    /// Records a summary and returns whether to use it.
+    pub fn accept_summary(&mut self, from: &id::Vm, summary: &Summary, now: Instant) -> bool {
         let Some(shard) = self.shards.get_mut(usize::from(summary.shard)) else { return false };
-        if shard.told.as_ref() != Some(from) {
+        if shard.current.as_ref() != Some(from) {
             return false;
         }
-        let sent = shard.open.iter().find(|(number, _)| *number == summary.number);
-        let is_late = sent.is_none_or(|(_, at)| now.saturating_duration_since(*at) > LATE);
-        shard.open.retain(|(number, _)| *number > summary.number);
+        let sent = shard.pending.iter().find(|(number, _)| *number == summary.number);
+        let is_late =
+            sent.is_none_or(|(_, at)| now.saturating_duration_since(*at) > MAX_ANSWER_AGE);
+        shard.pending.retain(|(number, _)| *number > summary.number);
         !is_late
     }
 }
@@ -108,5 +110,7 @@
     }
 }
 
-const _: () =
-    assert!(MISSED as u128 * ROUND.as_millis() <= 700, "a lost host is left within 0.7 s");
+const _: () = assert!(
+    MAX_UNANSWERED as u128 * UPDATE_INTERVAL.as_millis() <= 700,
+    "a failed host is left within 0.7 s"
+);
--- a/src/decide/sharing/key.rs
+++ b/src/decide/sharing/key.rs
@@ -1,4 +1,4 @@
-//! A short name for one start of an upstream.
+//! Compact identifier of an upstream instance.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,19 +7,20 @@
 use super::SHARDS;
 use crate::id;
 
-/// One start of an upstream. Another start has another key, so what was known of the one before is never taken for it.
+/// Hash of an upstream's name and start. A restarted upstream has a different key, so state of the
+/// previous instance isn't applied to it.
 ///
-/// Four bytes name it in each message; of the some hundred upstreams of a region, two share a key once in a million.
+/// With a few hundred upstreams in a region, a collision is about a one in a million chance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key(u32);
 
 impl Key {
-    /// The key of that start.
-    pub fn new(upstream: &id::Upstream, born: u64) -> Self {
-        Self(xxh3_64_with_seed(upstream.as_str().as_bytes(), born) as u32)
+    /// The key of the instance that started at `start`.
+    pub fn new(upstream: &id::Upstream, start: u64) -> Self {
+        Self(xxh3_64_with_seed(upstream.as_str().as_bytes(), start) as u32)
     }
 
-    /// The shard that it belongs to.
+    /// The shard of the upstream.
     pub const fn shard(self) -> u8 {
         (self.0 % SHARDS as u32) as u8
     }
--- a/src/decide/sharing/load.rs
+++ b/src/decide/sharing/load.rs
@@ -1,4 +1,4 @@
-//! What VMs have at one upstream, and what they saw of it.
+//! Load of an upstream, as seen by the VMs that send to it.
 
 use std::time::Duration;
 
@@ -7,33 +7,34 @@
 use serde_with::DurationMilliSeconds;
 use serde_with::serde_as;
 
-/// No VM has more requests at an upstream, nor more tokens in each of them, than this. Numbers beyond are bad input.
-const MOST_REQUESTS: u32 = 1_000_000;
-const MOST_TOKENS: u64 = 1 << 40;
+/// Limits for the validation of received loads.
+const MAX_REQUESTS: u32 = 1_000_000;
+const MAX_TOKENS: u64 = 1 << 40;
 
-/// What one VM has at an upstream, or the sum of several.
+/// The load that a VM has on an upstream, or the sum over several VMs.
 ///
-/// Serialised as a list without names: it is most of each message.
+/// Serialised as a tuple, because it makes up most of each message.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Packed", into = "Packed")]
 pub struct Load {
-    /// Requests that have not ended.
+    /// Requests in progress.
     pub running: u32,
-    /// Of these, those whose first event hasn't come.
+    /// Of these, the requests without a first event.
     pub unread: u32,
-    /// The tokens that those have to read.
+    /// Prompt tokens of the requests without a first event.
     pub unread_tokens: u64,
-    /// The tokens that the running ones keep in memory, shared parts aside.
+    /// Tokens that running requests hold in the KV cache, excluding shared prefixes.
     pub memory: u64,
-    /// Requests that ended well lately.
+    /// Recent successful requests.
     pub answered: u32,
-    /// Requests that failed lately.
+    /// Recent failed requests.
     pub failed: u32,
-    /// VMs that could not connect to it lately and leave it alone.
+    /// VMs that recently could not connect to it and have stopped sending.
     pub unreachable: u32,
-    /// How long ago anything came from it; the shortest of several VMs. None where nothing came lately.
+    /// Time since the last data received from it, the minimum over VMs; `None` if there was none
+    /// recently.
     pub heard: Option<Duration>,
-    /// How long a VM with requests there has seen nothing of it; the longest of several VMs.
+    /// How long a VM with requests there has received nothing, the maximum over VMs.
     pub quiet: Duration,
 }
 
@@ -53,7 +54,8 @@
 
 impl From<Packed> for Load {
     fn from(packed: Packed) -> Self {
-        let Packed(running, unread, tokens, memory, answered, failed, away, quiet, heard) = packed;
+        let Packed(running, unread, tokens, memory, answered, failed, unreachable, quiet, heard) =
+            packed;
         Self {
             running,
             unread,
@@ -61,7 +63,7 @@
             memory,
             answered,
             failed,
-            unreachable: away,
+            unreachable,
             heard,
             quiet,
         }
@@ -85,25 +87,25 @@
 }
 
 impl Load {
-    /// Whether it tells anything.
+    /// Whether it has nothing to report.
     pub fn is_empty(&self) -> bool {
         *self == Self { heard: self.heard, ..Self::default() }
     }
 
-    /// Whether it can be what VMs have at an upstream.
-    pub const fn is_sound(&self) -> bool {
-        self.running <= MOST_REQUESTS
+    /// Whether it is plausible.
+    pub const fn is_valid(&self) -> bool {
+        self.running <= MAX_REQUESTS
             && self.unread <= self.running
-            && self.unread_tokens <= MOST_TOKENS
-            && self.memory <= MOST_TOKENS
-            && self.answered <= MOST_REQUESTS
-            && self.failed <= MOST_REQUESTS
-            && self.unreachable <= MOST_REQUESTS
+            && self.unread_tokens <= MAX_TOKENS
+            && self.memory <= MAX_TOKENS
+            && self.answered <= MAX_REQUESTS
+            && self.failed <= MAX_REQUESTS
+            && self.unreachable <= MAX_REQUESTS
     }
 
-    /// Both together, in any order.
+    /// Adds another VM's load; commutative and associative.
     #[must_use]
-    pub fn with(self, other: Self) -> Self {
+    pub fn merge(self, other: Self) -> Self {
         Self {
             running: self.running.saturating_add(other.running),
             unread: self.unread.saturating_add(other.unread),
@@ -117,7 +119,7 @@
         }
     }
 
-    /// The same after that time, in which nothing more was told.
+    /// The load after that time without new data.
     #[must_use]
     pub fn aged(self, age: Duration) -> Self {
         let quiet = if self.quiet.is_zero() { self.quiet } else { self.quiet.saturating_add(age) };
--- a/src/decide/sharing/message.rs
+++ b/src/decide/sharing/message.rs
@@ -1,4 +1,4 @@
-//! What a VM and a host say to each other.
+//! Messages between VMs and hosts.
 
 use std::time::Duration;
 
@@ -13,41 +13,41 @@
 use crate::decide::quota;
 use crate::id;
 
-/// The entries of a message at most; a datagram of an absurd size is dropped unread.
-const MOST: usize = 1000;
+/// Upper bound on the entries of each list; longer messages are dropped.
+const MAX_ENTRIES: usize = 1000;
 
-/// One datagram.
+/// A datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// A VM tells a host.
+    /// From a VM to a host.
     #[serde(rename = "u")]
     Update(Update),
-    /// A host answers.
+    /// A host's answer.
     #[serde(rename = "s")]
     Summary(Summary),
-    /// A host tells those of other regions.
+    /// From a host to the hosts of other regions.
     #[serde(rename = "t")]
     Totals(quota::Totals),
 }
 
-/// Up to where a VM knows a host's list of uses.
+/// A position in a host's log of prefix uses.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Position {
+pub struct Cursor {
     /// The host's start.
     #[serde(rename = "h")]
     pub host: u64,
-    /// The uses before this one are known.
+    /// The next use to read.
     #[serde(rename = "n")]
     pub next: u64,
 }
 
-/// A prompt with that shared part was sent to an engine, which holds the part from then on.
+/// A prompt with a shared prefix was sent to an engine, which caches the prefix from then on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Use {
+pub struct PrefixUse {
     /// The engine.
     #[serde(rename = "e")]
     pub engine: Key,
-    /// Names the part.
+    /// Identifies the prefix.
     #[serde(rename = "p")]
     pub part: u64,
     /// Its length in tokens.
@@ -55,96 +55,98 @@
     pub tokens: u64,
 }
 
-/// How a usual request would fare in another region.
+/// Estimated handling of a typical request in another region.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Remote {
+pub struct RegionEstimate {
     /// The region.
     #[serde(rename = "r")]
     pub region: id::Region,
     /// The service.
     #[serde(rename = "s")]
     pub service: String,
-    /// Whether it holds for requests to the service that no other ones go before.
+    /// Whether the estimate is for requests of the highest priority of the service.
     #[serde(rename = "u")]
     pub urgent: bool,
-    /// The time to the first event.
+    /// Time to the first event.
     #[serde(rename = "w")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub wait: Duration,
-    /// The requests that run where it would go.
+    /// Requests running on the upstream that it would be sent to.
     #[serde(rename = "n")]
     pub running: u32,
-    /// How long ago that was told.
+    /// Age of the estimate.
     #[serde(rename = "a")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub age: Duration,
 }
 
-/// All that a VM has at the upstreams of a shard.
+/// A VM's load on the upstreams of a shard.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
     /// The shard.
     #[serde(rename = "s")]
     pub shard: u8,
-    /// Tells one start of the VM from another.
+    /// Identifies the VM's start.
     #[serde(rename = "b")]
     pub start: u64,
-    /// Counts the updates of that start; a later one replaces an earlier one.
+    /// Sequence number within that start.
     #[serde(rename = "n")]
     pub number: u64,
-    /// What it has; nothing where an upstream is not named.
+    /// The VM's load by upstream; upstreams without load are omitted.
     #[serde(rename = "l")]
     pub loads: Vec<(Key, Load)>,
-    /// What organisations of the shard have asked it for.
+    /// The VM's counts for organisations of the shard.
     #[serde(rename = "q", default, skip_serializing_if = "Vec::is_empty")]
     pub quotas: Vec<(quota::Lane, quota::Count)>,
-    /// Shared parts that it has used and the host has not confirmed.
+    /// Prefix uses that the host has not confirmed.
     #[serde(rename = "u")]
-    pub uses: Vec<Use>,
-    /// The uses of others that it knows.
+    pub uses: Vec<PrefixUse>,
+    /// The last known position in the host's log.
     #[serde(rename = "k")]
-    pub known: Position,
-    /// What other regions have told it since its last update of the shard [`REMOTES`](super::REMOTES).
+    pub known: Cursor,
+    /// Estimates received from other regions since the last update of the shard
+    /// [`REMOTES_SHARD`](super::REMOTES_SHARD).
     #[serde(rename = "r", default, skip_serializing_if = "Vec::is_empty")]
-    pub remotes: Vec<Remote>,
+    pub remotes: Vec<RegionEstimate>,
 }
 
-/// A host's answer to an update: what all other VMs have.
+/// A host's answer to an update.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
     /// The shard.
     #[serde(rename = "s")]
     pub shard: u8,
-    /// The number of the update that it answers.
+    /// The sequence number of the update.
     #[serde(rename = "n")]
     pub number: u64,
-    /// The sums over all VMs but the asking one; nothing where an upstream is not named.
+    /// Load summed over all other VMs; upstreams without load are omitted.
     #[serde(rename = "l")]
     pub loads: Vec<(Key, Load)>,
-    /// The organisations of the shard that are limited; none where the host can't tell yet.
+    /// Admission rates of limited organisations of the shard; `None` if the host doesn't know them
+    /// yet.
     #[serde(rename = "q", default, skip_serializing_if = "Option::is_none")]
     pub quotas: Option<Vec<(quota::Lane, quota::Part)>>,
-    /// Uses that the asking VM did not know.
+    /// Prefix uses since the position in the update.
     #[serde(rename = "u")]
-    pub uses: Vec<Use>,
-    /// Up to where it knows them with these.
+    pub uses: Vec<PrefixUse>,
+    /// The position after these uses.
     #[serde(rename = "k")]
-    pub known: Position,
-    /// What other regions have told the VMs of this one lately.
+    pub known: Cursor,
+    /// Recent estimates of other regions.
     #[serde(rename = "r", default, skip_serializing_if = "Vec::is_empty")]
-    pub remotes: Vec<Remote>,
+    pub remotes: Vec<RegionEstimate>,
 }
 
 impl Message {
-    /// The bytes of a datagram.
+    /// Encodes the datagram.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(512);
         ciborium::into_writer(self, &mut bytes).expect("writing to memory does not fail");
         bytes
     }
 
-    /// The message of a datagram; none where it is none, or says what can't be.
+    /// Decodes a datagram; `None` if it is malformed or has invalid contents.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let message: Self = ciborium::from_reader(bytes).ok()?;
         let (shard, loads, uses, remotes) = match &message {
@@ -157,12 +159,12 @@
                 (summary.shard, &summary.loads, &summary.uses, &summary.remotes)
             }
         };
-        let is_sound = shard < SHARDS
-            && loads.len() <= MOST
-            && uses.len() <= MOST
-            && remotes.len() <= MOST
-            && loads.iter().all(|(key, load)| key.shard() == shard && load.is_sound())
+        let is_valid = shard < SHARDS
+            && loads.len() <= MAX_ENTRIES
+            && uses.len() <= MAX_ENTRIES
+            && remotes.len() <= MAX_ENTRIES
+            && loads.iter().all(|(key, load)| key.shard() == shard && load.is_valid())
             && uses.iter().all(|used| used.engine.shard() == shard);
-        is_sound.then_some(message)
+        is_valid.then_some(message)
     }
 }
--- a/src/decide/sharing/mod.rs
+++ b/src/decide/sharing/mod.rs
@@ -1,22 +1,23 @@
-//! What the entry VMs of a region tell each other of the upstreams that they all send to.
+//! Load sharing between the entry VMs of a region.
 //!
-//! **Load pattern.** Two hundred entry VMs stand before ninety engines. Each sees six requests a second, and each engine
-//! once in several seconds, while an engine fills or empties within a tenth of that.
+//! **Load pattern.** Two hundred entry VMs send to ninety engines. A VM handles six requests a
+//! second and sends to each engine once in several seconds, while an engine's load changes within a
+//! tenth of that.
 //!
-//! **Without it.** An engine's load reaches a VM only with an answer of that engine to the same VM. Engines that run three
-//! requests stand beside others with thirty; a shared part of prompts is read by seven engines, since each VM chooses
-//! among loads that are not there; a plain upstream refuses what sixty VMs send it at once; and each VM loses requests
-//! of its own to an engine that all others know to be gone.
+//! **Without it.** A VM learns an engine's load only from answers to its own requests. Some engines
+//! run three requests and others thirty, shared prefixes are computed on several engines, plain
+//! upstreams refuse bursts of many VMs, and each VM loses requests to an engine that others already
+//! know to be down.
 //!
-//! **Decision.** The upstreams are divided into [`SHARDS`]. Each shard has a host among the region's entry VMs, found by
-//! rendezvous hashing ([`Hosts`]). Every VM tells it, several times a second, what it has at the shard's upstreams
-//! ([`Update`]), and is answered with the sum of what the other VMs have there ([`Summary`]). Both hold whole states with a
-//! number, so a message may be lost, repeated or overtaken. A host that is lost costs freshness: VMs go on by their own
-//! view, and by the next host after [`hosts::MISSED`] updates without an answer. Two hosts at once each know a part, and
-//! a VM never takes the word of both for the same upstream.
+//! **Decision.** Upstreams are divided into [`SHARDS`]. Each shard is hosted by one of the region's
+//! entry VMs, selected by rendezvous hashing ([`Hosts`]). Every VM sends its own load on the
+//! shard's upstreams to the host several times a second ([`Update`]), and receives the sum over the
+//! other VMs ([`Summary`]). Messages carry complete, numbered states, so they may be lost, repeated
+//! or reordered. If a host fails, VMs fall back to their own view and switch to the next host after
+//! [`hosts::MAX_UNANSWERED`] updates without an answer. Two simultaneous hosts each know a part of
+//! the load, and a VM accepts only one host's summary per shard.
 //!
-//! Of the ways that were weighed (`docs/design/sharing.md`), gossip of digests is as old as two or three rounds, and leases
-//! handed out ahead leave room idle.
+//! Alternatives are compared in `docs/design/sharing.md`.
 
 mod aggregator;
 pub mod hosts;
@@ -31,28 +32,27 @@
 pub use hosts::Hosts;
 pub use key::Key;
 pub use load::Load;
+pub use message::Cursor;
 pub use message::Message;
-pub use message::Position;
-pub use message::Remote;
+pub use message::PrefixUse;
+pub use message::RegionEstimate;
 pub use message::Summary;
 pub use message::Update;
-pub use message::Use;
 
-/// Groups of upstreams with a host each. More of them make more messages, fewer make longer ones: a host tells each VM of
-/// all upstreams of its shard.
+/// Number of shards. More shards need more messages, and fewer need longer ones.
 pub const SHARDS: u8 = 4;
 
-/// The shard whose host is told of other regions as well.
-pub const REMOTES: u8 = 0;
+/// The shard whose host also aggregates the estimates of other regions.
+pub const REMOTES_SHARD: u8 = 0;
 
-/// Each shard's host is told so often by a VM that has requests.
-pub const ROUND: Duration = Duration::from_millis(160);
+/// Interval between a VM's updates to the host of each shard.
+pub const UPDATE_INTERVAL: Duration = Duration::from_millis(160);
 
-/// A VM's statement counts for so long at a host: three rounds may be lost.
-pub const KEPT: Duration = Duration::from_millis(700);
+/// How long a host counts a VM's last update; up to three may be lost.
+pub const UPDATE_TTL: Duration = Duration::from_millis(700);
 
-/// A summary counts for so long at a VM that received it. It is as old as its host's statements by then, besides.
-pub const FRESH: Duration = Duration::from_millis(700);
+/// How long a VM uses a summary after it was received.
+pub const SUMMARY_TTL: Duration = Duration::from_millis(700);
 
 #[cfg(test)]
 mod tests;
--- a/src/decide/sharing/remotes.rs
+++ b/src/decide/sharing/remotes.rs
@@ -1,24 +1,26 @@
-//! What other regions told the VMs of this one, put together by a host.
+//! Aggregates what the VMs of this region learn about other regions.
 //!
-//! Load pattern: a region is at its peak and another one is not. Each VM hears of the other region with the answers to what it
-//! passed on itself, once in seconds; in between it takes the region to be as full as its own, and keeps its requests.
+//! A VM receives estimates of another region only with answers to its own forwarded requests, every
+//! few seconds. Without aggregation it assumes in between that the region is as full as its own,
+//! and keeps its requests.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-use super::Remote;
+use super::RegionEstimate;
 use crate::id;
 
-/// Statements are averaged over this time: each comes from one VM that looked at a few upstreams, and all VMs act by it.
-const SMOOTHED: Duration = Duration::from_millis(300);
+/// Time constant of the average. Each estimate covers only a few upstreams, and all VMs act on the
+/// result.
+const SMOOTHING_TIME: Duration = Duration::from_millis(300);
 
-/// A statement counts for so long.
-const KEPT: Duration = Duration::from_secs(2);
+/// How long an estimate is used.
+const ESTIMATE_TTL: Duration = Duration::from_secs(2);
 
-/// The regions and services of which a host knows at most; what strangers invent fills no memory.
-const MOST: usize = 256;
+/// Upper bound on tracked regions and services, which bounds memory under invalid input.
+const MAX_ENTRIES: usize = 256;
 
 #[derive(Debug)]
 struct Average {
@@ -27,33 +29,33 @@
     at: Instant,
 }
 
-/// Averages of what was told, by region, service and urgency.
+/// Averages by region, service and urgency.
 #[derive(Debug, Default)]
 pub struct Remotes(BTreeMap<(id::Region, String, bool), Average>);
 
 impl Remotes {
-    /// A VM passes on what a region told it.
-    pub fn take(&mut self, remote: Remote, now: Instant) {
-        self.0.retain(|_, average| now.saturating_duration_since(average.at) < KEPT);
+    /// Adds an estimate reported by a VM.
+    pub fn update(&mut self, remote: RegionEstimate, now: Instant) {
+        self.0.retain(|_, average| now.saturating_duration_since(average.at) < ESTIMATE_TTL);
         let at = now.checked_sub(remote.age).unwrap_or(now);
         let (wait, running) = (remote.wait.as_secs_f64(), f64::from(remote.running));
         let key = (remote.region, remote.service, remote.urgent);
         let Some(average) = self.0.get_mut(&key) else {
-            if self.0.len() < MOST {
+            if self.0.len() < MAX_ENTRIES {
                 self.0.insert(key, Average { wait, running, at });
             }
             return;
         };
-        let since = at.saturating_duration_since(average.at).as_secs_f64();
-        let weight = 1.0 - (-since / SMOOTHED.as_secs_f64()).exp();
+        let elapsed = at.saturating_duration_since(average.at).as_secs_f64();
+        let weight = 1.0 - (-elapsed / SMOOTHING_TIME.as_secs_f64()).exp();
         average.wait += weight * (wait - average.wait);
         average.running += weight * (running - average.running);
         average.at = average.at.max(at);
     }
 
-    /// All that was told lately.
-    pub fn told(&self, now: Instant) -> Vec<Remote> {
-        let told = self.0.iter().map(|((region, service, urgent), average)| Remote {
+    /// All recent estimates.
+    pub fn recent(&self, now: Instant) -> Vec<RegionEstimate> {
+        let estimates = self.0.iter().map(|((region, service, urgent), average)| RegionEstimate {
             region: region.clone(),
             service: service.clone(),
             urgent: *urgent,
@@ -61,6 +63,6 @@
             running: average.running.round() as u32,
             age: now.saturating_duration_since(average.at),
         });
-        told.filter(|remote| remote.age < KEPT).collect()
+        estimates.filter(|remote| remote.age < ESTIMATE_TTL).collect()
     }
 }
--- a/src/gateway/share.rs
+++ b/src/gateway/share.rs
@@ -27,17 +27,17 @@
 use crate::decide::quota::Totals;
 use crate::decide::route::rendezvous;
 use crate::decide::sharing::Aggregator;
+use crate::decide::sharing::Cursor;
 use crate::decide::sharing::Hosts;
 use crate::decide::sharing::Key;
 use crate::decide::sharing::Load;
 use crate::decide::sharing::Message;
-use crate::decide::sharing::Position;
-use crate::decide::sharing::REMOTES;
-use crate::decide::sharing::ROUND;
+use crate::decide::sharing::PrefixUse;
+use crate::decide::sharing::REMOTES_SHARD;
 use crate::decide::sharing::SHARDS;
 use crate::decide::sharing::Summary;
+use crate::decide::sharing::UPDATE_INTERVAL;
 use crate::decide::sharing::Update;
-use crate::decide::sharing::Use;
 use crate::id;
 use crate::roster::Standing;
 use crate::routing::Table;
@@ -49,7 +49,7 @@
 const MOST_BYTES: usize = 64 * 1024;
 
 /// The shards' turns follow each other at this distance.
-const TURN: Duration = ROUND.checked_div(SHARDS as u32).expect("there are shards");
+const TURN: Duration = UPDATE_INTERVAL.checked_div(SHARDS as u32).expect("there are shards");
 
 /// A VM that has had no request for so long says nothing. What it knows when one comes is a round old at most.
 const IDLE: Duration = Duration::from_secs(2);
@@ -64,9 +64,9 @@
 #[derive(Debug, Default)]
 struct Shard {
     /// Up to where the others' uses are known.
-    known: Position,
+    known: Cursor,
     /// Own uses that are not confirmed, each with the first update that told it.
-    uses: Vec<(u64, Use)>,
+    uses: Vec<(u64, PrefixUse)>,
 }
 
 /// Who can be talked to.
@@ -172,7 +172,7 @@
         let table = hub.routing().table;
         let mut state = self.state();
         state.book = book;
-        state.hosts.sync(&ready);
+        state.hosts.set_candidates(&ready);
         if let Some(table) = table.filter(|table| table.version() != state.version) {
             state.version = table.version();
             state.balances.set_allowances(allowances(&table));
@@ -181,8 +181,8 @@
 
     async fn tell_shard(&self, hub: &Hub, shard: u8) {
         let now = Instant::now();
-        let Some(turn) = self.state().hosts.next(shard, now) else { return };
-        if let Some(lost) = &turn.lost {
+        let Some(turn) = self.state().hosts.next_target(shard, now) else { return };
+        if let Some(lost) = &turn.failed {
             warn!(hub.log(), "sharing.host_lost"; "shard" => shard, "host" => %lost, "next" => %turn.host);
         }
         let (loads, used) = {
@@ -191,7 +191,7 @@
         };
         let mut update = self.update(shard, turn.number, loads, used);
         update.quotas = hub.meter().counts(shard, now);
-        if shard == REMOTES {
+        if shard == REMOTES_SHARD {
             update.remotes = hub.regions().news(now);
         }
         let me = hub.node().vm();
@@ -206,7 +206,13 @@
         self.send(address, &Message::Update(update)).await;
     }
 
-    fn update(&self, shard: u8, number: u64, loads: Vec<(Key, Load)>, used: Vec<Use>) -> Update {
+    fn update(
+        &self,
+        shard: u8,
+        number: u64,
+        loads: Vec<(Key, Load)>,
+        used: Vec<PrefixUse>,
+    ) -> Update {
         let mut state = self.state();
         let of_shard = &mut state.shards[usize::from(shard)];
         of_shard.uses.extend(used.into_iter().map(|used| (number, used)));
@@ -289,7 +295,7 @@
     fn take_summary(&self, hub: &Hub, from: &id::Vm, summary: Summary, now: Instant) {
         {
             let mut state = self.state();
-            if !state.hosts.answered(from, &summary, now) {
+            if !state.hosts.accept_summary(from, &summary, now) {
                 return;
             }
             let shard = &mut state.shards[usize::from(summary.shard)];
@@ -319,7 +325,7 @@
     fn answer(&mut self, from: &id::Vm, update: Update, now: Instant) -> Option<Summary> {
         let (shard, version) = (update.shard, (update.start, update.number));
         self.balances.take((from, shard), version, &update.quotas, now);
-        let mut summary = self.aggregator.take(from, update, now)?;
+        let mut summary = self.aggregator.apply_update(from, update, now)?;
         summary.quotas = self.balances.parts(shard, now);
         Some(summary)
     }
--- a/tests/load/quotas.rs
+++ b/tests/load/quotas.rs
@@ -14,7 +14,7 @@
 use masticstream::decide::quota::Key;
 use masticstream::decide::quota::Lane;
 use masticstream::decide::quota::Meter;
-use masticstream::decide::sharing::ROUND;
+use masticstream::decide::sharing::UPDATE_INTERVAL;
 use masticstream::id;
 use masticstream::routing::organisation::Allowance;
 use masticstream::routing::organisation::Unit;
@@ -182,12 +182,12 @@
         meter.set_vms(VMS as u32);
     }
     for nth in 0..VMS {
-        let first = ROUND.mul_f64(world.rng.random());
+        let first = UPDATE_INTERVAL.mul_f64(world.rng.random());
         world.agenda.after(first, Event::Tell(nth));
         world.next_ask(nth);
     }
     for nth in 0..REGIONS {
-        let first = ROUND.mul_f64(world.rng.random());
+        let first = UPDATE_INTERVAL.mul_f64(world.rng.random());
         world.agenda.after(first, Event::Abroad(nth));
     }
     while world.agenda.elapsed() < END {
@@ -326,7 +326,7 @@
 
     fn tell(&mut self, nth: usize) {
         let now = self.agenda.now();
-        self.agenda.after(ROUND, Event::Tell(nth));
+        self.agenda.after(UPDATE_INTERVAL, Event::Tell(nth));
         if self.rng.random::<f64>() < LOST {
             return;
         }
@@ -355,12 +355,12 @@
             self.is_replaced = true;
             self.hosts[0] = host(100, self.key, self.allowance);
         }
-        (LOST_AT..LOST_AT + ROUND * 4).contains(&elapsed)
+        (LOST_AT..LOST_AT + UPDATE_INTERVAL * 4).contains(&elapsed)
     }
 
     fn abroad(&mut self, from: usize) {
         let now = self.agenda.now();
-        self.agenda.after(ROUND, Event::Abroad(from));
+        self.agenda.after(UPDATE_INTERVAL, Event::Abroad(from));
         if self.is_host_away(from) {
             return;
         }
--- a/tests/load/streams/world.rs
+++ b/tests/load/streams/world.rs
@@ -25,10 +25,10 @@
 use masticstream::decide::place::Work;
 use masticstream::decide::place::wait;
 use masticstream::decide::sharing::Aggregator;
-use masticstream::decide::sharing::Position;
-use masticstream::decide::sharing::REMOTES;
-use masticstream::decide::sharing::ROUND;
+use masticstream::decide::sharing::Cursor;
+use masticstream::decide::sharing::REMOTES_SHARD;
 use masticstream::decide::sharing::SHARDS;
+use masticstream::decide::sharing::UPDATE_INTERVAL;
 use masticstream::decide::sharing::Update;
 use masticstream::id;
 use masticstream::unit::Slots;
@@ -40,7 +40,7 @@
 
 /// The VMs of a region tell their host by turns, so many in a round.
 const TURNS: usize = 16;
-const TURN: Duration = ROUND.checked_div(TURNS as u32).unwrap();
+const TURN: Duration = UPDATE_INTERVAL.checked_div(TURNS as u32).unwrap();
 
 /// One way between regions, in seconds.
 const WAY: f64 = 0.055;
@@ -150,7 +150,7 @@
     place: Place,
     regions: Regions,
     turn: usize,
-    known: [Position; SHARDS as usize],
+    known: [Cursor; SHARDS as usize],
 }
 
 /// A VM tells the host of all shards what it has, and takes what the others have.
@@ -159,10 +159,10 @@
     for shard in 0..SHARDS {
         let known = vm.known[usize::from(shard)];
         let (loads, uses) = (vm.place.loads(shard, now), vm.place.uses(shard));
-        let remotes = if shard == REMOTES { vm.regions.news(now) } else { Vec::new() };
+        let remotes = if shard == REMOTES_SHARD { vm.regions.news(now) } else { Vec::new() };
         let quotas = Vec::new();
         let update = Update { shard, start: 1, number, loads, quotas, uses, known, remotes };
-        let summary = host.take(&name, update, now).unwrap();
+        let summary = host.apply_update(&name, update, now).unwrap();
         vm.known[usize::from(shard)] = summary.known;
         vm.place.told(&summary, now);
         vm.regions.told_by_host(&summary.remotes, now);
