--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -13,7 +13,7 @@
 use masticstream::decide::admission::Decision;
 use masticstream::decide::limit;
 use masticstream::decide::limit::Allowance;
-use masticstream::decide::limit::Home;
+use masticstream::decide::limit::Coordinator;
 use masticstream::decide::quarantine::Digest;
 use masticstream::decide::quarantine::Quarantine;
 use masticstream::decide::queue::Bounds;
@@ -132,7 +132,7 @@
             allowance.settle(charge, Tokens::new(120), now);
         });
     });
-    let mut home = Home::new(limits, VMS, Duration::from_secs(60), now);
+    let mut home = Coordinator::new(limits, VMS, Duration::from_secs(60), now);
     let later = now + Duration::from_secs(10);
     let mut seq = 0;
     c.bench_function("limit: a demand of one of 350 VMs", |b| {
@@ -148,11 +148,11 @@
                 running: 1,
             };
             demand.taken = demand.seq.saturating_sub(VMS as u64);
-            black_box(home.demand(&demand, later))
+            black_box(home.handle_demand(&demand, later))
         });
     });
     c.bench_function("limit: home of an entry among 350 VMs", |b| {
-        b.iter(|| black_box(limit::home(&entry, &names, VMS)));
+        b.iter(|| black_box(limit::coordinator(&entry, &names, VMS)));
     });
 }
 
--- a/src/decide/limit/allowance.rs
+++ b/src/decide/limit/allowance.rs
@@ -1,4 +1,4 @@
-//! One VM's part of an entry's limits.
+//! A VM's share of an entry's limits.
 
 use std::time::Duration;
 
@@ -7,48 +7,49 @@
 
 use crate::catalogue::Limits;
 use crate::decide::limit::Demand;
+use crate::decide::limit::GRANT_TTL;
 use crate::decide::limit::Grant;
-use crate::decide::limit::RENEWAL;
-use crate::decide::limit::TTL;
+use crate::decide::limit::RENEWAL_INTERVAL;
 use crate::decide::limit::bucket::Bucket;
-use crate::decide::limit::home::even;
-use crate::decide::limit::home::floor;
+use crate::decide::limit::coordinator::base_share;
+use crate::decide::limit::coordinator::equal_share;
 use crate::id;
 use crate::unit::Rate;
 use crate::unit::Tokens;
 
-/// The part of a new interval in the measured demand. Derived: two renewals follow four fifths of a step.
-const GAIN: f64 = 0.6;
+/// Weight of the last interval in the measured demand.
+const DEMAND_WEIGHT: f64 = 0.6;
 
-/// The shortest time between two demands: what a trip between regions takes, so that no answer is outrun.
-const SOONEST: Duration = Duration::from_millis(200);
+/// Minimum interval between demands, longer than a round trip between regions.
+const MIN_DEMAND_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A VM that has had no lease for so long, although callers asked, takes the home to be out of reach.
+/// Time without a lease, counted from the first request, after which the coordinator is considered
+/// unreachable.
 ///
-/// Whatever the home leased out before it was lost has expired by then.
-const CUT_OFF: Duration = TTL.saturating_mul(2);
+/// All grants of a failed coordinator have expired by then.
+const DISCONNECT_TIMEOUT: Duration = GRANT_TTL.saturating_mul(2);
 
-/// The part of the ratio of real to estimated tokens that one answer corrects. Derived: 20 answers suffice.
-const CORRECTION: f64 = 0.1;
+/// Weight of one answer in the ratio of actual to estimated tokens.
+const CORRECTION_WEIGHT: f64 = 0.1;
 
-/// Why a request isn't within the limits now.
+/// Why a request exceeds the limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Refusal {
-    /// Too many requests a second.
+    /// The request rate is too high.
     #[error("the rate of requests is above the limit")]
     Requests(Duration),
-    /// Too many tokens a second.
+    /// The token rate is too high.
     #[error("the rate of tokens is above the limit")]
     Tokens(Duration),
-    /// Too many requests in progress.
+    /// Too many requests are in progress.
     #[error("too many requests are in progress")]
     Concurrency,
-    /// No part of the limits has been leased yet; a demand is due, and its answer decides.
+    /// Nothing has been leased yet; a demand is due, and its answer decides.
     #[error("no part of the limits is leased to this VM yet")]
     Unleased,
 }
 
-/// What one request in progress was charged; [`Allowance::settle`] takes it back.
+/// The charge for a request in progress; must be returned with [`Allowance::settle`].
 #[derive(Debug, PartialEq)]
 #[must_use = "a charge that isn't settled holds its place for good"]
 pub struct Charge {
@@ -57,13 +58,13 @@
 }
 
 impl Charge {
-    /// The tokens that were charged: the estimate, corrected by what earlier answers took.
+    /// The tokens charged: the estimate, corrected by the ratio observed so far.
     pub fn charged(&self) -> f64 {
         self.charged
     }
 }
 
-/// What came in since the last demand.
+/// Requests since the last demand.
 #[derive(Debug, Default)]
 struct Interval {
     requests: f64,
@@ -71,83 +72,83 @@
     most_wanted: u32,
 }
 
-/// One VM's part of an entry's limits: spent without asking, renewed in time.
+/// A VM's share of an entry's limits, spent locally and renewed in time.
 #[derive(Debug)]
 pub struct Allowance {
     entry: id::Entry,
     vm: id::Vm,
-    floor: Limits,
-    even: Limits,
-    unleased: Option<Instant>,
+    base_share: Limits,
+    equal_share: Limits,
+    unleased_since: Option<Instant>,
     lease: Option<(Limits, Instant)>,
     share: Limits,
     requests: Bucket,
     tokens: Bucket,
     running: u32,
     seq: u64,
-    taken: u64,
+    last_grant: u64,
     sent: Option<Instant>,
     answered: bool,
-    pressed: bool,
-    helped: bool,
-    measured: Instant,
+    throttled: bool,
+    share_grew: bool,
+    measured_at: Instant,
     interval: Interval,
     wanted: Limits,
     ratio: f64,
 }
 
 impl Allowance {
-    /// A part of these limits on one of so many VMs; nothing is leased yet.
+    /// Creates an allowance without a lease on one of `vms` VMs.
     pub fn new(entry: id::Entry, vm: id::Vm, limits: &Limits, vms: usize, now: Instant) -> Self {
-        let floor = floor(limits, vms);
+        let base_share = base_share(limits, vms);
         Self {
             entry,
             vm,
-            floor,
-            even: even(limits, vms),
-            unleased: None,
+            base_share,
+            equal_share: equal_share(limits, vms),
+            unleased_since: None,
             lease: None,
-            share: floor,
-            requests: Bucket::new(floor.requests, now),
-            tokens: Bucket::new(floor.tokens, now),
+            share: base_share,
+            requests: Bucket::new(base_share.requests, now),
+            tokens: Bucket::new(base_share.tokens, now),
             running: 0,
             seq: 0,
-            taken: 0,
+            last_grant: 0,
             sent: None,
             answered: true,
-            pressed: false,
-            helped: true,
-            measured: now,
+            throttled: false,
+            share_grew: true,
+            measured_at: now,
             interval: Interval::default(),
-            wanted: floor,
+            wanted: base_share,
             ratio: 1.0,
         }
     }
 
-    /// Takes over changed limits: what is leased holds until it is renewed.
+    /// Changes the limits; the current lease stays until it is renewed.
     pub fn set_limits(&mut self, limits: &Limits, vms: usize) {
-        self.floor = floor(limits, vms);
-        self.even = even(limits, vms);
+        self.base_share = base_share(limits, vms);
+        self.equal_share = equal_share(limits, vms);
     }
 
-    /// Whether the home has been out of reach for long.
-    pub fn is_cut_off(&self, now: Instant) -> bool {
-        self.unleased.is_some_and(|since| now >= since + CUT_OFF)
+    /// Whether the coordinator has been unreachable for long.
+    pub fn is_disconnected(&self, now: Instant) -> bool {
+        self.unleased_since.is_some_and(|since| now >= since + DISCONNECT_TIMEOUT)
     }
 
-    /// Charges a request of so many estimated tokens, if the limits allow it.
+    /// Charges a request with an estimated number of tokens, if the limits allow it.
     pub fn charge(&mut self, estimated: Tokens, now: Instant) -> Result<Charge, Refusal> {
         self.update(now);
         let charged = estimated.get() as f64 * self.ratio;
-        let leased = self.lease.is_some_and(|(_, sent)| now < sent + TTL);
+        let leased = self.lease.is_some_and(|(_, sent)| now < sent + GRANT_TTL);
         if !leased {
-            self.unleased.get_or_insert(now);
+            self.unleased_since.get_or_insert(now);
         }
         self.interval.requests += 1.0;
         self.interval.tokens += charged;
         self.interval.most_wanted = self.interval.most_wanted.max(self.running) + 1;
         let allowed = self.check(now);
-        self.pressed |= allowed.is_err();
+        self.throttled |= allowed.is_err();
         allowed?;
         self.requests.take(1.0);
         self.tokens.take(charged);
@@ -155,24 +156,25 @@
         Ok(Charge { estimated, charged })
     }
 
-    /// Ends a request that took so many tokens in truth; one that never ran took none.
-    pub fn settle(&mut self, charge: Charge, real: Tokens, now: Instant) {
+    /// Ends a request with its actual number of tokens, zero if it never ran.
+    pub fn settle(&mut self, charge: Charge, actual: Tokens, now: Instant) {
         self.update(now);
         self.running = self.running.saturating_sub(1);
-        self.tokens.take(real.get() as f64 - charge.charged);
-        if charge.estimated > Tokens::ZERO && real > Tokens::ZERO {
-            let ratio = real.get() as f64 / charge.estimated.get() as f64;
-            self.ratio += CORRECTION * (ratio - self.ratio);
+        self.tokens.take(actual.get() as f64 - charge.charged);
+        if charge.estimated > Tokens::ZERO && actual > Tokens::ZERO {
+            let ratio = actual.get() as f64 / charge.estimated.get() as f64;
+            self.ratio += CORRECTION_WEIGHT * (ratio - self.ratio);
         }
     }
 
-    /// The message to the entry's home, when one is due: after each renewal time, and sooner while
-    /// requests are refused and the last demand raised the share.
-    pub fn demand(&mut self, now: Instant) -> Option<Demand> {
+    /// The next demand to the coordinator, if due: after each renewal interval, or sooner while
+    /// requests are refused and the last grant raised the share.
+    pub fn next_demand(&mut self, now: Instant) -> Option<Demand> {
         self.update(now);
         let age = self.sent.map(|sent| now.saturating_duration_since(sent));
-        let soon = self.pressed && self.answered && self.helped;
-        let due = age.is_none_or(|age| age >= RENEWAL || soon && age >= SOONEST);
+        let soon = self.throttled && self.answered && self.share_grew;
+        let due =
+            age.is_none_or(|age| age >= RENEWAL_INTERVAL || soon && age >= MIN_DEMAND_INTERVAL);
         if !due || self.is_idle() {
             return None;
         }
@@ -184,24 +186,25 @@
             entry: self.entry.clone(),
             vm: self.vm.clone(),
             seq: self.seq,
-            taken: self.taken,
+            taken: self.last_grant,
             wanted: self.wanted,
             held: self.share,
             running: self.running,
         })
     }
 
-    /// Takes a grant in. It counts from when the demand was sent, so that a slow answer prolongs nothing.
-    pub fn grant(&mut self, grant: &Grant, now: Instant) {
+    /// Applies a grant. It is valid from the time of the demand, so that a slow answer doesn't
+    /// extend it.
+    pub fn apply_grant(&mut self, grant: &Grant, now: Instant) {
         let Some(sent) = self.sent.filter(|_| grant.seq == self.seq) else { return };
         let before = self.share;
         self.answered = true;
-        self.taken = grant.seq;
+        self.last_grant = grant.seq;
         self.lease = Some((grant.share, sent));
-        self.unleased = None;
+        self.unleased_since = None;
         self.update(now);
-        self.helped = !self.pressed || exceeds(&self.share, &before);
-        self.pressed = false;
+        self.share_grew = !self.throttled || exceeds(&self.share, &before);
+        self.throttled = false;
     }
 
     /// What this VM may use now.
@@ -210,18 +213,19 @@
         self.share
     }
 
-    /// Whether the next grant may allow more than now: the last demand is not answered yet, or its answer helped.
+    /// Whether the next grant may raise the share: the last demand is unanswered or its grant
+    /// raised it.
     pub fn may_grow(&self) -> bool {
-        !self.answered || self.helped
+        !self.answered || self.share_grew
     }
 
-    /// Whether nothing runs and nothing was asked for lately: it may be dropped.
+    /// Whether no requests are running or were received recently, so that it can be dropped.
     pub fn is_idle(&self) -> bool {
         self.running == 0 && self.interval.requests == 0.0 && self.wanted.requests.get() < 0.01
     }
 
     fn check(&mut self, now: Instant) -> Result<(), Refusal> {
-        let unleased = self.lease.is_none() && !self.is_cut_off(now);
+        let unleased = self.lease.is_none() && !self.is_disconnected(now);
         if self.running >= self.share.concurrency {
             return Err(if unleased { Refusal::Unleased } else { Refusal::Concurrency });
         }
@@ -235,16 +239,16 @@
         }
     }
 
-    /// Applies what may be used at this instant.
+    /// Applies the share that is valid now.
     ///
-    /// Once the lease has expired, the floor is what the home never leases out. A VM that stays cut off takes its even
-    /// part: with the home lost these add up to the limit, and a VM that is parted from a living home goes on
-    /// serving its callers, at the price of that much more than the limit until the partition heals.
+    /// After the lease expires this is the base share, which is never leased out. A VM that stays
+    /// disconnected uses its equal share: if the coordinator failed, these add up to the limit; in
+    /// a partition the limit is exceeded by that much until the partition heals.
     fn update(&mut self, now: Instant) {
         let share = match self.lease {
-            Some((share, sent)) if now < sent + TTL => share,
-            _ if self.is_cut_off(now) => self.even,
-            _ => self.floor,
+            Some((share, sent)) if now < sent + GRANT_TTL => share,
+            _ if self.is_disconnected(now) => self.equal_share,
+            _ => self.base_share,
         };
         if share != self.share {
             self.requests.set_rate(share.requests, now);
@@ -253,14 +257,15 @@
         }
     }
 
-    /// Follows the demand of the last interval.
+    /// Updates the measured demand from the last interval.
     fn measure(&mut self, now: Instant) {
-        let seconds = now.saturating_duration_since(self.measured).max(SOONEST).as_secs_f64();
-        self.measured = now;
+        let seconds =
+            now.saturating_duration_since(self.measured_at).max(MIN_DEMAND_INTERVAL).as_secs_f64();
+        self.measured_at = now;
         let interval = std::mem::take(&mut self.interval);
         let follow = |old: Rate, count: f64| {
             let new = count / seconds;
-            Rate::per_second(old.get() + GAIN * (new - old.get()))
+            Rate::per_second(old.get() + DEMAND_WEIGHT * (new - old.get()))
         };
         self.wanted = Limits {
             requests: follow(self.wanted.requests, interval.requests),
@@ -271,7 +276,7 @@
     }
 }
 
-/// Whether a share has grown by a tenth or more in some respect.
+/// Whether a share has grown by more than a tenth, or in concurrency.
 fn exceeds(new: &Limits, old: &Limits) -> bool {
     new.requests.get() > 1.1 * old.requests.get()
         || new.tokens.get() > 1.1 * old.tokens.get()
--- a/src/decide/limit/bucket.rs
+++ b/src/decide/limit/bucket.rs
@@ -1,13 +1,13 @@
-//! A token bucket whose rate may change.
+//! Token bucket with a variable rate.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-use crate::decide::limit::BURST;
+use crate::decide::limit::BURST_TIME;
 use crate::unit::Rate;
 
-/// An amount that grows at a rate up to what [`BURST`] earns.
+/// A token bucket that holds at most what [`BURST_TIME`] earns.
 #[derive(Debug, Clone)]
 pub struct Bucket {
     rate: Rate,
@@ -16,19 +16,21 @@
 }
 
 impl Bucket {
-    /// A full bucket, which holds one at least: a small part of a small limit must let a first request through.
+    /// Creates a full bucket. It holds at least one token, so that a small share still admits a
+    /// request.
     pub fn new(rate: Rate, now: Instant) -> Self {
-        Self { rate, level: rate.over(BURST).max(1.0), updated: now }
+        Self { rate, level: rate.over(BURST_TIME).max(1.0), updated: now }
     }
 
-    /// Changes the rate. The level never rises by it: what moves to another VM must not be there twice.
+    /// Changes the rate without raising the level: tokens moved to another VM must not be spent
+    /// twice.
     pub fn set_rate(&mut self, rate: Rate, now: Instant) {
         self.refill(now);
         self.rate = rate;
         self.level = self.level.min(self.size());
     }
 
-    /// How long until the level exceeds this; zero if it does.
+    /// How long until the level exceeds `level`; zero if it already does.
     pub fn wait_above(&mut self, level: f64, now: Instant) -> Duration {
         self.refill(now);
         let missing = level - self.level;
@@ -38,13 +40,13 @@
         Duration::try_from_secs_f64(missing / self.rate.get()).unwrap_or(Duration::MAX)
     }
 
-    /// Takes an amount out, into debt if need be; a negative amount is given back.
+    /// Removes an amount, possibly leaving a negative level; a negative amount is added.
     pub fn take(&mut self, amount: f64) {
         self.level = (self.level - amount).min(self.size());
     }
 
     fn size(&self) -> f64 {
-        self.rate.over(BURST).max(1.0)
+        self.rate.over(BURST_TIME).max(1.0)
     }
 
     fn refill(&mut self, now: Instant) {
--- a/src/decide/limit/home.rs
+++ b/src/decide/limit/coordinator.rs
@@ -1,4 +1,4 @@
-//! One entry's limits, leased out to the VMs.
+//! Coordinator of an entry's limits.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,22 +6,20 @@
 use tokio::time::Instant;
 
 use crate::catalogue::Limits;
-use crate::decide::limit::DRIFT;
 use crate::decide::limit::Demand;
+use crate::decide::limit::GRANT_TTL;
 use crate::decide::limit::Grant;
-use crate::decide::limit::TTL;
+use crate::decide::limit::MAX_CLOCK_DRIFT;
 use crate::id;
 use crate::unit::Rate;
 
-/// The part of a limit that is never leased by demand: every VM has an even part of it at any time.
-///
-/// Measured (docs/MEASUREMENTS.md, limits): an owner whose callers all use one VM of eight gets a twentieth less than
-/// its limit for it; in return a VM serves first requests without asking, and something while it has no lease.
-const FLOOR_PART: f64 = 0.1;
+/// Fraction of a limit that is not leased but split equally among the VMs, so that each can serve
+/// first requests without asking and continue without a lease.
+const BASE_FRACTION: f64 = 0.1;
 
-/// What every VM may use of these limits without asking.
-pub fn floor(limits: &Limits, vms: usize) -> Limits {
-    let part = FLOOR_PART / vms.max(1) as f64;
+/// The share that every VM may use without a lease.
+pub fn base_share(limits: &Limits, vms: usize) -> Limits {
+    let part = BASE_FRACTION / vms.max(1) as f64;
     Limits {
         requests: Rate::per_second(limits.requests.get() * part),
         tokens: Rate::per_second(limits.tokens.get() * part),
@@ -29,8 +27,9 @@
     }
 }
 
-/// The even part of these limits: one request in progress at least, or small limits would stop a VM that is cut off.
-pub fn even(limits: &Limits, vms: usize) -> Limits {
+/// The equal share of a VM. It allows at least one request, so that small limits don't stop a
+/// disconnected VM.
+pub fn equal_share(limits: &Limits, vms: usize) -> Limits {
     let vms = vms.max(1);
     Limits {
         requests: Rate::per_second(limits.requests.get() / vms as f64),
@@ -39,99 +38,103 @@
     }
 }
 
-/// A part that a VM may be using.
+/// A grant that may be in use.
 #[derive(Debug, Clone, Copy)]
 struct Lease {
     seq: u64,
     share: Limits,
-    heard: Instant,
+    received_at: Instant,
 }
 
-/// What a VM was granted, and what it said.
+/// A VM's grants and its last demand.
 #[derive(Debug, Clone)]
 struct Holder {
     leases: Vec<Lease>,
     seq: u64,
     wanted: Limits,
     running: u32,
-    heard: Instant,
+    received_at: Instant,
 }
 
 /// The grants of one entry.
 #[derive(Debug)]
-pub struct Home {
+pub struct Coordinator {
     limits: Limits,
-    floor: Limits,
+    base_share: Limits,
     vms: usize,
     longest: Duration,
     since: Instant,
     holders: BTreeMap<id::Vm, Holder>,
 }
 
-impl Home {
-    /// The home of an entry with these limits among so many VMs; its requests run no longer than `longest`.
+impl Coordinator {
+    /// Creates the coordinator of an entry with these limits among `vms` VMs, whose requests run no
+    /// longer than `longest`.
     ///
-    /// `since` is when this VM became the entry's home: another VM may have been until then, and what it granted isn't
-    /// known here. For the lifetime of those grants each VM is granted what it holds already, which keeps the
-    /// sum as it was. An entry that is first asked for later needs no such time.
+    /// `since` is when this VM took over. The grants of a previous coordinator are unknown here, so
+    /// until they expire each VM is granted what it already holds, which keeps the sum unchanged.
+    /// An entry that is first used later needs no such period.
     pub fn new(limits: Limits, vms: usize, longest: Duration, since: Instant) -> Self {
-        let floor = floor(&limits, vms);
-        Self { limits, floor, vms, longest, since, holders: BTreeMap::new() }
+        let base_share = base_share(&limits, vms);
+        Self { limits, base_share, vms, longest, since, holders: BTreeMap::new() }
     }
 
-    /// Takes over changed limits; grants follow with the next demands.
+    /// Changes the limits, which apply to the next grants.
     pub fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
-        self.floor = floor(&limits, self.vms);
+        self.base_share = base_share(&limits, self.vms);
     }
 
-    /// Answers a VM's demand; one that was overtaken by a later one gets no answer.
-    pub fn demand(&mut self, demand: &Demand, now: Instant) -> Option<Grant> {
-        let longest = TTL + DRIFT + self.longest;
-        self.holders.retain(|_, holder| now < holder.heard + longest);
-        self.hear(demand, now)?;
-        let share = if now < self.since + TTL + DRIFT {
+    /// Answers a demand; returns `None` if a later one of that VM was already answered.
+    pub fn handle_demand(&mut self, demand: &Demand, now: Instant) -> Option<Grant> {
+        let longest = GRANT_TTL + MAX_CLOCK_DRIFT + self.longest;
+        self.holders.retain(|_, holder| now < holder.received_at + longest);
+        self.record_demand(demand, now)?;
+        let share = if now < self.since + GRANT_TTL + MAX_CLOCK_DRIFT {
             demand.held
         } else {
             let available = self.available(&demand.vm, now);
-            let share = smaller(&self.fair(&demand.wanted, now), &available);
-            // A limit smaller than the number of VMs has no whole part for each: whoever comes first gets one.
+            let share = smaller(&self.fair_share(&demand.wanted, now), &available);
+            // If the limit is smaller than the number of VMs, each whole unit goes to the first VM
+            // to ask.
             Limits { concurrency: share.concurrency.max(1).min(available.concurrency), ..share }
         };
-        let share = larger(&share, &self.floor);
+        let share = larger(&share, &self.base_share);
         let holder = self.holders.get_mut(&demand.vm)?;
-        holder.leases.push(Lease { seq: demand.seq, share, heard: now });
+        holder.leases.push(Lease { seq: demand.seq, share, received_at: now });
         Some(Grant { entry: demand.entry.clone(), seq: demand.seq, share })
     }
 
-    /// Notes what a VM said, unless it has said something later already.
+    /// Records a demand, unless a later one was recorded before.
     ///
-    /// The VM uses the grant that it last took in, and may yet take in the answer to this demand; it can't take
-    /// in any other. Until it says so, a grant that was lost on the way may still replace nothing.
-    fn hear(&mut self, demand: &Demand, now: Instant) -> Option<()> {
+    /// The VM uses the last grant that it received or the answer to this demand. An earlier grant
+    /// counts as held until the VM confirms a later one.
+    fn record_demand(&mut self, demand: &Demand, now: Instant) -> Option<()> {
         let holder = self.holders.entry(demand.vm.clone()).or_insert_with(|| Holder {
             leases: Vec::new(),
             seq: 0,
             wanted: demand.wanted,
             running: 0,
-            heard: now,
+            received_at: now,
         });
         if demand.seq <= holder.seq {
             return None;
         }
-        holder.leases.retain(|lease| lease.seq == demand.taken && now < lease.heard + TTL + DRIFT);
+        holder.leases.retain(|lease| {
+            lease.seq == demand.taken && now < lease.received_at + GRANT_TTL + MAX_CLOCK_DRIFT
+        });
         holder.seq = demand.seq;
         holder.wanted = demand.wanted;
         holder.running = demand.running;
-        holder.heard = now;
+        holder.received_at = now;
         Some(())
     }
 
     /// What no other VM may be using.
     fn available(&self, vm: &id::Vm, now: Instant) -> Limits {
         let others = self.holders.iter().filter(|(other, _)| *other != vm);
-        let strangers = self.vms.saturating_sub(1 + others.clone().count());
-        let mut held = scaled(&self.floor, strangers);
+        let unknown_vms = self.vms.saturating_sub(1 + others.clone().count());
+        let mut held = scaled(&self.base_share, unknown_vms);
         for (_, holder) in others {
             held = sum(&held, &self.held(holder, now));
         }
@@ -142,25 +145,31 @@
         }
     }
 
-    /// The most that a VM may be using: its floor at any time, and any lease that hasn't expired.
+    /// The most that a VM may be using: its base share or any unexpired lease.
     ///
-    /// Requests that it started may go on after its lease, for as long as a request may take.
+    /// Requests that it started may outlast the lease.
     fn held(&self, holder: &Holder, now: Instant) -> Limits {
-        let valid = holder.leases.iter().filter(|lease| now < lease.heard + TTL + DRIFT);
-        let most = valid.fold(self.floor, |most, lease| larger(&most, &lease.share));
+        let valid = holder
+            .leases
+            .iter()
+            .filter(|lease| now < lease.received_at + GRANT_TTL + MAX_CLOCK_DRIFT);
+        let most = valid.fold(self.base_share, |most, lease| larger(&most, &lease.share));
         Limits { concurrency: most.concurrency.max(holder.running), ..most }
     }
 
-    /// The max-min fair part for a VM that wants this much.
+    /// The max-min fair share for a VM with this demand.
     ///
-    /// VMs that have asked for nothing count with their floor: if the first to ask got all that is left over, the next
-    /// ones would be refused until it had given some back.
-    fn fair(&self, wanted: &Limits, now: Instant) -> Limits {
-        let active = self.holders.values().filter(|holder| now < holder.heard + TTL + DRIFT);
+    /// VMs without demand count with their base share; otherwise the first VM to ask would get
+    /// everything, and the next ones would be refused until it had returned some.
+    fn fair_share(&self, wanted: &Limits, now: Instant) -> Limits {
+        let active = self
+            .holders
+            .values()
+            .filter(|holder| now < holder.received_at + GRANT_TTL + MAX_CLOCK_DRIFT);
         let mut wants: Vec<Limits> =
-            active.map(|holder| larger(&holder.wanted, &self.floor)).collect();
-        wants.resize(wants.len().max(self.vms), self.floor);
-        let wanted = larger(wanted, &self.floor);
+            active.map(|holder| larger(&holder.wanted, &self.base_share)).collect();
+        wants.resize(wants.len().max(self.vms), self.base_share);
+        let wanted = larger(wanted, &self.base_share);
         let part = |of: fn(&Limits) -> f64| {
             water_fill(of(&self.limits), of(&wanted), wants.iter().map(of).collect())
         };
@@ -172,9 +181,10 @@
     }
 }
 
-/// The max-min fair part of `amount` for one that wants `want`, among all `wants`.
+/// The max-min fair share of `amount` for one demand `want` among all `wants`.
 ///
-/// What nobody wants is spread by the square root of the wants: that is how far each varies around its mean.
+/// A surplus is distributed in proportion to the square root of the demands, as their deviation
+/// from the mean is.
 fn water_fill(amount: f64, want: f64, mut wants: Vec<f64>) -> f64 {
     wants.sort_by(f64::total_cmp);
     let mut left = amount.max(0.0);
--- a/src/decide/limit/message.rs
+++ b/src/decide/limit/message.rs
@@ -1,4 +1,4 @@
-//! What a VM and an entry's home tell each other.
+//! Messages between a VM and an entry's coordinator.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,32 +6,32 @@
 use crate::catalogue::Limits;
 use crate::id;
 
-/// What a VM needs of an entry's limits.
+/// A VM's demand for a share of an entry's limits.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
     /// The entry.
     pub entry: id::Entry,
-    /// The VM that asks.
+    /// The demanding VM.
     pub vm: id::Vm,
-    /// The number of this message; the grant repeats it.
+    /// Sequence number, repeated in the grant.
     pub seq: u64,
-    /// The number of the last grant that the VM took in; 0 for none.
+    /// Sequence number of the last grant received, or 0.
     pub taken: u64,
-    /// What callers ask this VM for, refused requests included.
+    /// The measured demand, including refused requests.
     pub wanted: Limits,
-    /// What the VM may use now.
+    /// The share in use.
     pub held: Limits,
     /// Requests in progress.
     pub running: u32,
 }
 
-/// What a VM may use until [`TTL`](super::TTL) after it sent the demand.
+/// A lease of a share, valid until [`GRANT_TTL`](super::GRANT_TTL) after the demand was sent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Grant {
     /// The entry.
     pub entry: id::Entry,
-    /// The number of the demand.
+    /// The sequence number of the demand.
     pub seq: u64,
-    /// The part of the limits that is leased.
+    /// The share granted.
     pub share: Limits,
 }
--- a/src/decide/limit/rendezvous.rs
+++ b/src/decide/limit/rendezvous.rs
@@ -1,14 +1,15 @@
-//! Which VM is an entry's home.
+//! Selection of an entry's coordinator.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::id;
 
-/// The home of an entry among the VMs that are alive, if these are a majority of all.
+/// The coordinator of an entry among the live VMs, if these are a majority of all.
 ///
-/// Every VM with the same view picks the same one, and a VM that is lost moves only the entries that it was home
-/// to. Without the majority both sides of a partition would have a home, each granting the whole limit.
-pub fn home<'a>(entry: &id::Entry, alive: &'a [id::Vm], all: usize) -> Option<&'a id::Vm> {
+/// VMs with the same view select the same one, and the loss of a VM moves only the entries that it
+/// coordinated. Without the majority rule, both sides of a partition would each grant the whole
+/// limit.
+pub fn coordinator<'a>(entry: &id::Entry, alive: &'a [id::Vm], all: usize) -> Option<&'a id::Vm> {
     if alive.len() * 2 <= all {
         return None;
     }
--- a/src/entry/quota.rs
+++ b/src/entry/quota.rs
@@ -10,9 +10,9 @@
 use crate::decide::limit;
 use crate::decide::limit::Allowance;
 use crate::decide::limit::Charge;
+use crate::decide::limit::Coordinator;
 use crate::decide::limit::Demand;
 use crate::decide::limit::Grant;
-use crate::decide::limit::Home;
 use crate::decide::limit::Refusal;
 use crate::id;
 use crate::unit::Tokens;
@@ -42,7 +42,7 @@
 
 #[derive(Debug)]
 struct Hosted {
-    home: Home,
+    home: Coordinator,
     asked: Instant,
 }
 
@@ -118,17 +118,17 @@
             let Some(part) = self.parts.get_mut(&name) else { continue };
             let entry = part.entry.clone();
             let sharers = sharers(&entry);
-            let Some(home) = limit::home(&name, &sharers.alive, sharers.all).cloned() else {
+            let Some(home) = limit::coordinator(&name, &sharers.alive, sharers.all).cloned() else {
                 continue;
             };
-            let Some(demand) = part.allowance.demand(now) else { continue };
+            let Some(demand) = part.allowance.next_demand(now) else { continue };
             if home != self.me {
                 due.push((home, demand));
                 continue;
             }
             let grant = self.demanded(&entry, &demand, sharers.all, now);
             if let (Some(grant), Some(part)) = (grant, self.parts.get_mut(&name)) {
-                part.allowance.grant(&grant, now);
+                part.allowance.apply_grant(&grant, now);
             }
         }
         due
@@ -144,18 +144,18 @@
     ) -> Option<Grant> {
         let longest = entry.deadline.min(LONGEST);
         let hosted = self.hosted.entry(entry.name.clone()).or_insert_with(|| Hosted {
-            home: Home::new(entry.limits, all, longest, self.stable),
+            home: Coordinator::new(entry.limits, all, longest, self.stable),
             asked: now,
         });
         hosted.asked = now;
         hosted.home.set_limits(entry.limits);
-        hosted.home.demand(demand, now)
+        hosted.home.handle_demand(demand, now)
     }
 
     /// Takes a grant in.
     pub fn granted(&mut self, grant: &Grant, now: Instant) {
         if let Some(part) = self.parts.get_mut(&grant.entry) {
-            part.allowance.grant(grant, now);
+            part.allowance.apply_grant(grant, now);
         }
     }
 
--- a/tests/load/limits.rs
+++ b/tests/load/limits.rs
@@ -6,11 +6,11 @@
 
 use masticstream::catalogue::Limits;
 use masticstream::decide::limit::Allowance;
-use masticstream::decide::limit::BURST;
+use masticstream::decide::limit::BURST_TIME;
 use masticstream::decide::limit::Charge;
+use masticstream::decide::limit::Coordinator;
 use masticstream::decide::limit::Demand;
 use masticstream::decide::limit::Grant;
-use masticstream::decide::limit::Home;
 use masticstream::id;
 use masticstream::unit::Rate;
 use masticstream::unit::Tokens;
@@ -104,15 +104,15 @@
 
 impl Fixed {
     fn new(limits: Limits, now: Instant) -> Self {
-        let (requests, tokens) = (limits.requests.over(BURST), limits.tokens.over(BURST));
+        let (requests, tokens) = (limits.requests.over(BURST_TIME), limits.tokens.over(BURST_TIME));
         Self { limits, requests, tokens, running: 0, updated: now }
     }
 
     fn charge(&mut self, tokens: f64, now: Instant) -> bool {
         let Limits { requests, tokens: token_rate, concurrency } = self.limits;
         let age = now - std::mem::replace(&mut self.updated, now);
-        self.requests = (self.requests + requests.over(age)).min(requests.over(BURST));
-        self.tokens = (self.tokens + token_rate.over(age)).min(token_rate.over(BURST));
+        self.requests = (self.requests + requests.over(age)).min(requests.over(BURST_TIME));
+        self.tokens = (self.tokens + token_rate.over(age)).min(token_rate.over(BURST_TIME));
         let allowed = self.requests >= 1.0 && self.tokens >= tokens && self.running < concurrency;
         if allowed {
             self.requests -= 1.0;
@@ -137,7 +137,7 @@
     case: Case,
     allowances: Vec<Allowance>,
     fixed: Option<Vec<Fixed>>,
-    home: Home,
+    home: Coordinator,
     taken_over: bool,
     running: i64,
     windows: BTreeMap<u64, f64>,
@@ -164,7 +164,12 @@
     let mut region = Region {
         allowances: (0..VMS).map(allowance).collect(),
         fixed: (rule != Rule::Leased).then(|| vec![Fixed::new(fixed, now); VMS]),
-        home: Home::new(limits(1.0), VMS, Duration::from_secs(30), now - Duration::from_secs(10)),
+        home: Coordinator::new(
+            limits(1.0),
+            VMS,
+            Duration::from_secs(30),
+            now - Duration::from_secs(10),
+        ),
         agenda,
         rng: SmallRng::seed_from_u64(11),
         case,
@@ -218,18 +223,18 @@
                 self.running -= 1;
             }
             Event::Tick(vm) => {
-                if let Some(demand) = self.allowances[vm].demand(now) {
+                if let Some(demand) = self.allowances[vm].next_demand(now) {
                     self.send(Event::Demand(demand));
                 }
                 self.agenda.after(Duration::from_millis(50), Event::Tick(vm));
             }
             Event::Demand(demand) => {
                 let vm: usize = demand.vm.as_str()[3..].parse().expect("a number");
-                if let Some(grant) = self.home().demand(&demand, now) {
+                if let Some(grant) = self.home().handle_demand(&demand, now) {
                     self.send(Event::Grant(vm, grant));
                 }
             }
-            Event::Grant(vm, grant) => self.allowances[vm].grant(&grant, now),
+            Event::Grant(vm, grant) => self.allowances[vm].apply_grant(&grant, now),
         }
     }
 
@@ -279,7 +284,7 @@
         }
     }
 
-    fn home(&mut self) -> &mut Home {
+    fn home(&mut self) -> &mut Coordinator {
         if self.case.fault == Fault::Lost
             && !self.taken_over
             && self.agenda.elapsed().as_secs() >= 35
@@ -290,7 +295,7 @@
                 tokens: Rate::per_second(TOKENS),
                 concurrency: CONCURRENCY,
             };
-            self.home = Home::new(limits, VMS, Duration::from_secs(30), self.agenda.now());
+            self.home = Coordinator::new(limits, VMS, Duration::from_secs(30), self.agenda.now());
         }
         &mut self.home
     }
--- a/tests/load/quotas.rs
+++ b/tests/load/quotas.rs
@@ -6,9 +6,9 @@
 
 use masticstream::catalogue::Limits;
 use masticstream::decide::limit;
+use masticstream::decide::limit::Coordinator;
 use masticstream::decide::limit::Demand;
 use masticstream::decide::limit::Grant;
-use masticstream::decide::limit::Home;
 use masticstream::decide::quota::Balances;
 use masticstream::decide::quota::Excess;
 use masticstream::decide::quota::Key;
@@ -123,7 +123,7 @@
     hosts: Vec<Balances>,
     is_replaced: bool,
     leases: Vec<limit::Allowance>,
-    home: Home,
+    home: Coordinator,
     buckets: Vec<(f64, Instant)>,
     window: VecDeque<(Instant, u64)>,
     in_window: u64,
@@ -162,7 +162,7 @@
         leases: (0..VMS)
             .map(|nth| limit::Allowance::new(entry.clone(), vm(nth), &limits(&allowance), VMS, now))
             .collect(),
-        home: Home::new(limits(&allowance), VMS, Duration::ZERO, now),
+        home: Coordinator::new(limits(&allowance), VMS, Duration::ZERO, now),
         buckets: vec![(0.0, now); VMS],
         window: VecDeque::new(),
         in_window: 0,
@@ -258,12 +258,12 @@
             }
             Event::Parts(nth, parts) => self.meters[nth].told(self.key.shard(), &parts, now),
             Event::Demand(demand) => {
-                if let Some(grant) = self.home.demand(&demand, now) {
+                if let Some(grant) = self.home.handle_demand(&demand, now) {
                     let nth = demand.vm.as_str()[2..].parse().unwrap();
                     self.agenda.after(self.trip(nth), Event::Grant(nth, grant));
                 }
             }
-            Event::Grant(nth, grant) => self.leases[nth].grant(&grant, now),
+            Event::Grant(nth, grant) => self.leases[nth].apply_grant(&grant, now),
         }
     }
 
@@ -331,7 +331,7 @@
             return;
         }
         if self.rule == Rule::Leases
-            && let Some(demand) = self.leases[nth].demand(now)
+            && let Some(demand) = self.leases[nth].next_demand(now)
         {
             self.agenda.after(self.trip(nth), Event::Demand(demand));
         }
