--- a/src/decide/history.rs
+++ b/src/decide/history.rs
@@ -47,7 +47,7 @@
         self.running = running;
         match self.past.back_mut() {
             Some((time, last)) if now.saturating_duration_since(*time) < RESOLUTION => {
-                *last = running
+                *last = running;
             }
             _ => self.past.push_back((now, running)),
         }
--- a/src/decide/place.rs
+++ b/src/decide/place.rs
@@ -43,8 +43,8 @@
 use crate::decide::route::rendezvous;
 use crate::decide::sharing::Key;
 use crate::decide::sharing::Load;
+use crate::decide::sharing::PrefixUse;
 use crate::decide::sharing::Summary;
-use crate::decide::sharing::Use;
 use crate::id;
 use crate::unit::Slots;
 use crate::unit::Tokens;
@@ -169,7 +169,7 @@
     /// This VM's rank among the VMs that send to these upstreams.
     sender: Sender,
     /// Prefix uses not yet sent to other VMs.
-    uses: Vec<Use>,
+    uses: Vec<PrefixUse>,
 }
 
 impl Balancer {
@@ -229,9 +229,9 @@
     }
 
     /// Removes and returns the prefix uses on the upstreams of a shard.
-    pub fn take_uses(&mut self, shard: u8) -> Vec<Use> {
+    pub fn take_uses(&mut self, shard: u8) -> Vec<PrefixUse> {
         let (taken, left) =
-            self.uses.drain(..).partition(|used: &Use| used.engine.shard() == shard);
+            self.uses.drain(..).partition(|used: &PrefixUse| used.engine.shard() == shard);
         self.uses = left;
         taken
     }
@@ -292,7 +292,7 @@
             stats.record_sent(placement.prefill, now);
             upstream.record_sent(work, placement.prefill, memory, self.sender, now);
             let prefix = work.prefix.filter(|_| self.uses.len() < MAX_PENDING_USES);
-            self.uses.extend(prefix.map(|prefix| Use {
+            self.uses.extend(prefix.map(|prefix| PrefixUse {
                 engine: upstream.key(),
                 part: prefix.key,
                 tokens: prefix.tokens.get(),
--- a/src/decide/place/regions.rs
+++ b/src/decide/place/regions.rs
@@ -29,7 +29,7 @@
 use super::service::Profile;
 use super::service::Work;
 use crate::decide::route::rendezvous;
-use crate::decide::sharing::Remote;
+use crate::decide::sharing::RegionEstimate;
 use crate::id;
 use crate::unit::Tokens;
 
@@ -98,7 +98,7 @@
     /// This region.
     Local,
     /// Another region.
-    Remote(id::Region),
+    RegionEstimate(id::Region),
     /// The prompt has no shared prefix, or there is no engine.
     Unknown,
 }
@@ -136,9 +136,9 @@
     }
 
     /// Removes and returns the outlooks received since the last call, for the other VMs of the region.
-    pub fn take_outlooks(&mut self, now: Instant) -> Vec<Remote> {
+    pub fn take_outlooks(&mut self, now: Instant) -> Vec<RegionEstimate> {
         let unsent = std::mem::take(&mut self.unsent).into_iter();
-        let unsent = unsent.map(|((region, service, urgent), (outlook, at))| Remote {
+        let unsent = unsent.map(|((region, service, urgent), (outlook, at))| RegionEstimate {
             region,
             service,
             urgent,
@@ -150,7 +150,7 @@
     }
 
     /// Applies the outlooks that other VMs of the region received.
-    pub fn apply_remotes(&mut self, remotes: &[Remote], now: Instant) {
+    pub fn apply_remotes(&mut self, remotes: &[RegionEstimate], now: Instant) {
         for remote in remotes {
             let outlook = Outlook { wait: remote.wait, running: remote.running };
             let at = now.checked_sub(remote.age).unwrap_or(now);
@@ -179,7 +179,7 @@
         });
         match (others.max(), here) {
             (Some((weight, region)), here) if here.is_none_or(|here| weight > here) => {
-                Holder::Remote(region.clone())
+                Holder::RegionEstimate(region.clone())
             }
             (_, Some(_)) => Holder::Local,
             (_, None) => Holder::Unknown,
@@ -199,7 +199,7 @@
         let reachable = self.reachable(query, now);
         let candidates = reachable.map(|(region, _)| {
             let (outlook, penalty) = self.outlook_and_penalty(region, query, profile, now);
-            let holds = matches!(holder, Holder::Remote(there) if there == region);
+            let holds = matches!(holder, Holder::RegionEstimate(there) if there == region);
             let uncached = match query.work.prefix {
                 Some(prefix) if !holds => prefix.tokens,
                 _ => Tokens::ZERO,
--- a/src/decide/place/sample.rs
+++ b/src/decide/place/sample.rs
@@ -12,7 +12,7 @@
 use super::cold::Sender;
 use super::service::ServiceStats;
 use super::upstream::UpstreamState;
-use crate::decide::sharing::ROUND;
+use crate::decide::sharing::UPDATE_INTERVAL;
 use crate::id;
 
 /// The minimum sample size; two choices are far better than one, however old the load data.
@@ -22,7 +22,8 @@
 const MAX_UNREPORTED: f64 = 2.0;
 
 /// The typical age of load data: one round until the host receives it, and half a round until it is sent out.
-const LOAD_AGE: Duration = ROUND.saturating_mul(3).checked_div(2).expect("two is not zero");
+const LOAD_AGE: Duration =
+    UPDATE_INTERVAL.saturating_mul(3).checked_div(2).expect("two is not zero");
 
 /// An upstream that can run the request.
 pub type Candidate<'a> = (&'a id::Upstream, &'a UpstreamState);
--- a/src/decide/place/upstream/peers.rs
+++ b/src/decide/place/upstream/peers.rs
@@ -26,7 +26,7 @@
     pub fn load_age(&self, now: Instant) -> Option<Duration> {
         let (_, at) = self.peer_load?;
         let age = now.saturating_duration_since(at);
-        (age < sharing::FRESH).then_some(age)
+        (age < sharing::SUMMARY_TTL).then_some(age)
     }
 
     /// Returns whether the load from other VMs is current.
@@ -84,7 +84,7 @@
     /// requests wait there until their deadlines.
     pub(super) fn is_unresponsive(&self, speed: &Speed, now: Instant) -> bool {
         let own = self.load(now);
-        let all = self.peer_load(now).map_or(own, |others| own.with(others));
+        let all = self.peer_load(now).map_or(own, |others| own.merge(others));
         let prefill = speed.prefill(all.unread_tokens as f64);
         let timeout = UNRESPONSIVE_AFTER
             + Duration::try_from_secs_f64(UNRESPONSIVE_PREFILLS * prefill).unwrap_or(Duration::MAX);
--- a/src/decide/route/prefix.rs
+++ b/src/decide/route/prefix.rs
@@ -58,7 +58,7 @@
         match self.last_events.get(&upstream).copied() {
             Some(last) if next <= last => return,
             Some((incarnation, _)) if event.incarnation > incarnation => {
-                self.remove_upstream(upstream)
+                self.remove_upstream(upstream);
             }
             Some((_, last)) if event.sequence > last + 1 => {
                 self.stale.insert(upstream);
@@ -69,7 +69,7 @@
         match &event.change {
             CacheChange::Stored(prefixes) => self.store(upstream, prefixes),
             CacheChange::Removed(prefixes) => {
-                prefixes.iter().for_each(|&p| self.remove(upstream, p))
+                prefixes.iter().for_each(|&p| self.remove(upstream, p));
             }
             CacheChange::Reset(prefixes) => {
                 self.clear(upstream);
--- a/src/gateway/sharing.rs
+++ b/src/gateway/sharing.rs
@@ -27,17 +27,17 @@
 use crate::decide::quota::Totals;
 use crate::decide::route::rendezvous;
 use crate::decide::sharing::Aggregator;
+use crate::decide::sharing::Cursor;
 use crate::decide::sharing::Hosts;
 use crate::decide::sharing::Key;
 use crate::decide::sharing::Load;
 use crate::decide::sharing::Message;
-use crate::decide::sharing::Position;
-use crate::decide::sharing::REMOTES;
-use crate::decide::sharing::ROUND;
+use crate::decide::sharing::PrefixUse;
+use crate::decide::sharing::REMOTES_SHARD;
 use crate::decide::sharing::SHARDS;
 use crate::decide::sharing::Summary;
+use crate::decide::sharing::UPDATE_INTERVAL;
 use crate::decide::sharing::Update;
-use crate::decide::sharing::Use;
 use crate::id;
 use crate::roster::Standing;
 use crate::routing::Table;
@@ -49,7 +49,8 @@
 const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
 /// Interval between the updates of successive shards.
-const SHARD_INTERVAL: Duration = ROUND.checked_div(SHARDS as u32).expect("there are shards");
+const SHARD_INTERVAL: Duration =
+    UPDATE_INTERVAL.checked_div(SHARDS as u32).expect("there are shards");
 
 /// A VM without requests for this long sends no updates.
 const IDLE_THRESHOLD: Duration = Duration::from_secs(2);
@@ -64,9 +65,9 @@
 #[derive(Debug, Default)]
 struct Shard {
     /// The position up to which other VMs' uses have been received.
-    known: Position,
+    known: Cursor,
     /// Own uses that are not confirmed, each with the number of the first update that contained it.
-    uses: Vec<(u64, Use)>,
+    uses: Vec<(u64, PrefixUse)>,
 }
 
 /// Addresses of other entry VMs.
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Sends updates to the hosts of the shards in turn, to each once per [`ROUND`].
+    /// Sends updates to the hosts of the shards in turn, to each once per [`UPDATE_INTERVAL`].
     async fn publish(&self, state: &State) {
         let mut updates = state.updates();
         self.refresh_peers(state);
@@ -172,7 +173,7 @@
         let table = state.routing().table;
         let mut inner = self.inner();
         inner.peers = peers;
-        inner.hosts.sync(&ready);
+        inner.hosts.set_candidates(&ready);
         if let Some(table) = table.filter(|table| table.version() != inner.version) {
             inner.version = table.version();
             inner.balances.set_allowances(allowances(&table));
@@ -181,8 +182,8 @@
 
     async fn publish_shard(&self, state: &State, shard: u8) {
         let now = Instant::now();
-        let Some(turn) = self.inner().hosts.next(shard, now) else { return };
-        if let Some(lost) = &turn.lost {
+        let Some(turn) = self.inner().hosts.next_target(shard, now) else { return };
+        if let Some(lost) = &turn.failed {
             warn!(state.log(), "sharing.host_lost"; "shard" => shard, "host" => %lost, "next" => %turn.host);
         }
         let (loads, used) = {
@@ -191,7 +192,7 @@
         };
         let mut update = self.update(shard, turn.number, loads, used);
         update.quotas = state.meter().counts(shard, now);
-        if shard == REMOTES {
+        if shard == REMOTES_SHARD {
             update.remotes = state.regions().take_outlooks(now);
         }
         let own_vm = state.node().vm();
@@ -208,7 +209,13 @@
         self.send(address, &Message::Update(update)).await;
     }
 
-    fn update(&self, shard: u8, number: u64, loads: Vec<(Key, Load)>, used: Vec<Use>) -> Update {
+    fn update(
+        &self,
+        shard: u8,
+        number: u64,
+        loads: Vec<(Key, Load)>,
+        used: Vec<PrefixUse>,
+    ) -> Update {
         let mut inner = self.inner();
         let shard_state = &mut inner.shards[usize::from(shard)];
         shard_state.uses.extend(used.into_iter().map(|used| (number, used)));
@@ -292,7 +299,7 @@
     fn apply_summary(&self, state: &State, from: &id::Vm, summary: Summary, now: Instant) {
         {
             let mut inner = self.inner();
-            if !inner.hosts.answered(from, &summary, now) {
+            if !inner.hosts.accept_summary(from, &summary, now) {
                 return;
             }
             let shard = &mut inner.shards[usize::from(summary.shard)];
@@ -322,7 +329,7 @@
     fn aggregate(&mut self, from: &id::Vm, update: Update, now: Instant) -> Option<Summary> {
         let (shard, version) = (update.shard, (update.start, update.number));
         self.balances.take((from, shard), version, &update.quotas, now);
-        let mut summary = self.aggregator.take(from, update, now)?;
+        let mut summary = self.aggregator.apply_update(from, update, now)?;
         summary.quotas = self.balances.parts(shard, now);
         Some(summary)
     }
--- a/tests/load/quotas.rs
+++ b/tests/load/quotas.rs
@@ -6,15 +6,15 @@
 
 use masticstream::catalogue::Limits;
 use masticstream::decide::limit;
+use masticstream::decide::limit::Coordinator;
 use masticstream::decide::limit::Demand;
 use masticstream::decide::limit::Grant;
-use masticstream::decide::limit::Home;
 use masticstream::decide::quota::Balances;
 use masticstream::decide::quota::Excess;
 use masticstream::decide::quota::Key;
 use masticstream::decide::quota::Lane;
 use masticstream::decide::quota::Meter;
-use masticstream::decide::sharing::ROUND;
+use masticstream::decide::sharing::UPDATE_INTERVAL;
 use masticstream::id;
 use masticstream::routing::organisation::Allowance;
 use masticstream::routing::organisation::Unit;
@@ -123,7 +123,7 @@
     hosts: Vec<Balances>,
     is_replaced: bool,
     leases: Vec<limit::Allowance>,
-    home: Home,
+    home: Coordinator,
     buckets: Vec<(f64, Instant)>,
     window: VecDeque<(Instant, u64)>,
     in_window: u64,
@@ -162,7 +162,7 @@
         leases: (0..VMS)
             .map(|nth| limit::Allowance::new(entry.clone(), vm(nth), &limits(&allowance), VMS, now))
             .collect(),
-        home: Home::new(limits(&allowance), VMS, Duration::ZERO, now),
+        home: Coordinator::new(limits(&allowance), VMS, Duration::ZERO, now),
         buckets: vec![(0.0, now); VMS],
         window: VecDeque::new(),
         in_window: 0,
@@ -182,12 +182,12 @@
         meter.set_vms(VMS as u32);
     }
     for nth in 0..VMS {
-        let first = ROUND.mul_f64(world.rng.random());
+        let first = UPDATE_INTERVAL.mul_f64(world.rng.random());
         world.agenda.after(first, Event::Tell(nth));
         world.next_ask(nth);
     }
     for nth in 0..REGIONS {
-        let first = ROUND.mul_f64(world.rng.random());
+        let first = UPDATE_INTERVAL.mul_f64(world.rng.random());
         world.agenda.after(first, Event::Abroad(nth));
     }
     while world.agenda.elapsed() < END {
@@ -258,12 +258,12 @@
             }
             Event::Parts(nth, parts) => self.meters[nth].told(self.key.shard(), &parts, now),
             Event::Demand(demand) => {
-                if let Some(grant) = self.home.demand(&demand, now) {
+                if let Some(grant) = self.home.handle_demand(&demand, now) {
                     let nth = demand.vm.as_str()[2..].parse().unwrap();
                     self.agenda.after(self.trip(nth), Event::Grant(nth, grant));
                 }
             }
-            Event::Grant(nth, grant) => self.leases[nth].grant(&grant, now),
+            Event::Grant(nth, grant) => self.leases[nth].apply_grant(&grant, now),
         }
     }
 
@@ -326,12 +326,12 @@
 
     fn tell(&mut self, nth: usize) {
         let now = self.agenda.now();
-        self.agenda.after(ROUND, Event::Tell(nth));
+        self.agenda.after(UPDATE_INTERVAL, Event::Tell(nth));
         if self.rng.random::<f64>() < LOST {
             return;
         }
         if self.rule == Rule::Leases
-            && let Some(demand) = self.leases[nth].demand(now)
+            && let Some(demand) = self.leases[nth].next_demand(now)
         {
             self.agenda.after(self.trip(nth), Event::Demand(demand));
         }
@@ -355,12 +355,12 @@
             self.is_replaced = true;
             self.hosts[0] = host(100, self.key, self.allowance);
         }
-        (LOST_AT..LOST_AT + ROUND * 4).contains(&elapsed)
+        (LOST_AT..LOST_AT + UPDATE_INTERVAL * 4).contains(&elapsed)
     }
 
     fn abroad(&mut self, from: usize) {
         let now = self.agenda.now();
-        self.agenda.after(ROUND, Event::Abroad(from));
+        self.agenda.after(UPDATE_INTERVAL, Event::Abroad(from));
         if self.is_host_away(from) {
             return;
         }
