--- a/src/store/frame.rs
+++ b/src/store/frame.rs
@@ -28,7 +28,7 @@
 
 /// Encodes a payload as a frame.
 pub fn encode(payload: &[u8], salt: Salt) -> Vec<u8> {
-    let length = u32::try_from(payload.len()).expect("a batch or snapshot stays far below 4 GB");
+    let length = u32::try_from(payload.len()).expect("payload length fits in 32 bits");
     let mut frame = Vec::with_capacity(HEADER_BYTES + payload.len());
     frame.extend_from_slice(&MAGIC);
     frame.push(FORMAT);
--- a/src/store/log.rs
+++ b/src/store/log.rs
@@ -133,7 +133,7 @@
     }
 
     fn current(&mut self) -> &mut Segment {
-        self.segments.last_mut().expect("a log has one segment at least, from the start on")
+        self.segments.last_mut().expect("a log has at least one segment")
     }
 
     /// Reads the log, truncates its torn tail and opens it for writing.
@@ -181,14 +181,14 @@
 /// Whether the log has more content than an interrupted first start can leave.
 pub(super) fn has_content(disk: &impl Disk, names: &[String]) -> Result<bool, Error> {
     let header = record::encode(&first_header(id::Replica::new(0)));
-    let most = frame::encode(&header, Salt::new(0, segment::FIRST)).len();
+    let header_size = frame::encode(&header, Salt::new(0, segment::FIRST)).len();
     match segment::numbers(names).as_slice() {
         [] => Ok(false),
         [segment::FIRST] => Ok(disk
             .read(&segment::name(segment::FIRST))
             .map_err(Error::file(&segment::name(segment::FIRST)))?
             .len()
-            > most),
+            > header_size),
         _ => Ok(true),
     }
 }
--- a/src/store/record.rs
+++ b/src/store/record.rs
@@ -63,7 +63,7 @@
 
 pub fn encode(value: &impl Serialize) -> Vec<u8> {
     let mut bytes = Vec::new();
-    ciborium::into_writer(value, &mut bytes).expect("plain data always encodes to memory");
+    ciborium::into_writer(value, &mut bytes).expect("encoding to memory does not fail");
     bytes
 }
 
--- a/src/store/segment.rs
+++ b/src/store/segment.rs
@@ -25,8 +25,8 @@
 
 /// Checks that the segment numbers are contiguous.
 pub(super) fn check(numbers: &[u64]) -> Result<(), Error> {
-    let hole = numbers.windows(2).find(|pair| pair[0] + 1 != pair[1]);
-    hole.map_or(Ok(()), |pair| Err(Error::corrupt(&name(pair[0] + 1), 0, Corruption::Missing)))
+    let gap = numbers.windows(2).find(|pair| pair[0] + 1 != pair[1]);
+    gap.map_or(Ok(()), |pair| Err(Error::corrupt(&name(pair[0] + 1), 0, Corruption::Missing)))
 }
 
 /// The file name of a segment.
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -124,7 +124,7 @@
     workload.disk.restart();
     workload.open().expect("a good disk");
     workload.run(Operation::Append { count: 1, replaced: 0 }).expect("a good disk");
-    workload.open().expect("no hole");
+    workload.open().expect("no gap");
 }
 
 #[test]
@@ -171,8 +171,8 @@
     copy.flip(name, at);
     match Storage::new(copy, &mut SmallRng::seed_from_u64(3)) {
         Ok(opened) => Some(opened.restored.log.len()),
-        Err(Error::Corrupt { name: told, .. }) => {
-            assert!(told == name || told == "log", "{told} is blamed for {name}");
+        Err(Error::Corrupt { name: reported, .. }) => {
+            assert!(reported == name || reported == "log", "{reported} is reported for {name}");
             None
         }
         Err(other) => panic!("{other}"),
@@ -219,9 +219,9 @@
 #[test]
 fn folder_is_locked_by_one_process() {
     let folder = tempfile::tempdir().expect("a folder");
-    let held = Folder::open(folder.path()).expect("a free folder");
+    let locked = Folder::open(folder.path()).expect("a free folder");
     assert!(matches!(Folder::open(folder.path()), Err(Error::Locked { .. })));
-    drop(held);
+    drop(locked);
     Folder::open(folder.path()).expect("free again");
 }
 
