--- a/tests/load/streams/world.rs
+++ b/tests/load/streams/world.rs
@@ -159,7 +159,8 @@
     for shard in 0..SHARDS {
         let known = vm.known[usize::from(shard)];
         let (loads, uses) = (vm.place.loads(shard, now), vm.place.take_uses(shard));
-        let remotes = if shard == REMOTES { vm.regions.take_outlooks(now) } else { Vec::new() };
+        let remotes =
+            if shard == REMOTES_SHARD { vm.regions.take_outlooks(now) } else { Vec::new() };
         let quotas = Vec::new();
         let update = Update { shard, start: 1, number, loads, quotas, uses, known, remotes };
         let summary = host.apply_update(&name, update, now).unwrap();
