--- a/src/decide/place/regions.rs
+++ b/src/decide/place/regions.rs
@@ -98,7 +98,7 @@
     /// This region.
     Local,
     /// Another region.
-    RegionEstimate(id::Region),
+    Remote(id::Region),
     /// The prompt has no shared prefix, or there is no engine.
     Unknown,
 }
@@ -179,7 +179,7 @@
         });
         match (others.max(), here) {
             (Some((weight, region)), here) if here.is_none_or(|here| weight > here) => {
-                Holder::RegionEstimate(region.clone())
+                Holder::Remote(region.clone())
             }
             (_, Some(_)) => Holder::Local,
             (_, None) => Holder::Unknown,
@@ -199,7 +199,7 @@
         let reachable = self.reachable(query, now);
         let candidates = reachable.map(|(region, _)| {
             let (outlook, penalty) = self.outlook_and_penalty(region, query, profile, now);
-            let holds = matches!(holder, Holder::RegionEstimate(there) if there == region);
+            let holds = matches!(holder, Holder::Remote(there) if there == region);
             let uncached = match query.work.prefix {
                 Some(prefix) if !holds => prefix.tokens,
                 _ => Tokens::ZERO,
