--- a/src/consensus/change.rs
+++ b/src/consensus/change.rs
@@ -60,10 +60,10 @@
 
     fn append_members(&mut self, members: Members, now: Instant) -> Position {
         let last = self.log.last().index;
-        let own = self.id();
+        let own_id = self.id();
         if let State::Leader(leader) = &mut self.state {
             leader.progress.retain(|&id, _| members.contains(id));
-            for (id, _) in members.iter().filter(|&(id, _)| id != own) {
+            for (id, _) in members.iter().filter(|&(id, _)| id != own_id) {
                 leader.progress.entry(id).or_insert_with(|| Progress::new(last, now));
             }
         }
--- a/src/consensus/commit.rs
+++ b/src/consensus/commit.rs
@@ -90,8 +90,8 @@
 
     /// A removed leader steps down once its removal is committed.
     fn step_down_if_removed(&mut self) {
-        let gone = !self.log.members().contains(self.id());
-        if gone && self.log.members_index() <= self.commit {
+        let is_removed = !self.log.members().contains(self.id());
+        if is_removed && self.log.members_index() <= self.commit {
             self.become_follower(None);
         }
     }
@@ -190,13 +190,13 @@
     /// callers would wait for answers without being directed to another leader.
     pub(super) fn check_quorum(&mut self, now: Instant) {
         self.restart_quorum(now);
-        let own = self.id();
+        let own_id = self.id();
         let members = self.log.members();
         let State::Leader(leader) = &mut self.state else {
             return;
         };
         let is_active =
-            |id| id == own || leader.progress.get(&id).is_some_and(|p| p.recently_active);
+            |id| id == own_id || leader.progress.get(&id).is_some_and(|p| p.recently_active);
         if members.has_majority(is_active) {
             leader.progress.values_mut().for_each(|p| p.recently_active = false);
             return;
--- a/src/consensus/election.rs
+++ b/src/consensus/election.rs
@@ -141,9 +141,10 @@
     }
 
     pub(super) fn handle_vote(&mut self, from: id::Replica, last: Position, now: Instant) {
-        let free = self.hard.vote.is_none_or(|id| id == from) || self.has_fault(Fault::VoteTwice);
-        let complete = last >= self.log.last() || self.has_fault(Fault::VoteForStale);
-        let granted = free && complete && self.may_vote();
+        let may_vote_for =
+            self.hard.vote.is_none_or(|id| id == from) || self.has_fault(Fault::VoteTwice);
+        let is_up_to_date = last >= self.log.last() || self.has_fault(Fault::VoteForStale);
+        let granted = may_vote_for && is_up_to_date && self.may_vote();
         if granted {
             self.set_term(self.hard.term, Some(from));
             self.restart_election(now);
--- a/src/consensus/election/tests.rs
+++ b/src/consensus/election/tests.rs
@@ -120,13 +120,13 @@
 
 // Guards against repeated split votes when three of five voters restart together.
 #[test]
-fn three_of_five_that_start_together_have_a_leader_soon() {
+fn three_of_five_elect_a_leader_soon_after_starting_together() {
     let times = election_times(&[1, 2, 3]);
     assert!(times[times.len() - 1] < MAX_ELECTION_TIME, "{:?}", times[times.len() - 1]);
 }
 
 #[test]
-fn five_that_start_together_have_a_leader_soon() {
+fn five_elect_a_leader_soon_after_starting_together() {
     let times = election_times(&[1, 2, 3, 4, 5]);
     assert!(times[times.len() - 1] < MAX_ELECTION_TIME, "{:?}", times[times.len() - 1]);
 }
--- a/src/consensus/finish.rs
+++ b/src/consensus/finish.rs
@@ -86,8 +86,8 @@
     fn compact_if_due(&mut self) {
         let covered = self.log.snapshot().position.index;
         let entries = self.applied.saturating_sub(covered).get();
-        let many = entries >= self.config.snapshot_entries as u64;
-        if entries == 0 || !(many || self.log.bytes() > self.config.snapshot_bytes) {
+        let has_many_entries = entries >= self.config.snapshot_entries as u64;
+        if entries == 0 || !(has_many_entries || self.log.bytes() > self.config.snapshot_bytes) {
             return;
         }
         if self.config.witness {
--- a/src/consensus/follower.rs
+++ b/src/consensus/follower.rs
@@ -113,11 +113,11 @@
             return last.index;
         }
         let mut index = previous.index.saturating_sub(Index::new(1));
-        let Some(differs) = self.log.position(previous.index) else {
+        let Some(conflict) = self.log.position(previous.index) else {
             return index.max(self.commit);
         };
         while index > self.commit
-            && self.log.position(index).is_some_and(|p| p.term == differs.term)
+            && self.log.position(index).is_some_and(|p| p.term == conflict.term)
         {
             index = index.saturating_sub(Index::new(1));
         }
--- a/src/consensus/input.rs
+++ b/src/consensus/input.rs
@@ -42,19 +42,19 @@
     Propose {
         /// The command.
         data: Bytes,
-        /// The driver's number for it.
+        /// Identifies the request.
         token: Token,
     },
     /// Request a linearizable read: the index up to which the state machine must be applied.
     Read {
-        /// The driver's number for it.
+        /// Identifies the request.
         token: Token,
     },
     /// Change a member.
     Change {
         /// The change.
         change: Change,
-        /// The driver's number for it.
+        /// Identifies the request.
         token: Token,
     },
     /// All writes up to this one are persisted.
--- a/src/consensus/log.rs
+++ b/src/consensus/log.rs
@@ -58,8 +58,8 @@
             log.push(entry);
         }
         let covered = log.snapshot.position;
-        let differs = log.get(covered.index).is_some_and(|entry| entry.position != covered);
-        if differs || log.entries.back().is_some_and(|entry| entry.index() < covered.index) {
+        let conflicts = log.get(covered.index).is_some_and(|entry| entry.position != covered);
+        if conflicts || log.entries.back().is_some_and(|entry| entry.index() < covered.index) {
             log.entries.clear();
             log.members.clear();
             log.bytes = 0;
--- a/src/consensus/log/tests.rs
+++ b/src/consensus/log/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn entries_that_differ_are_replaced_and_synced_anew() {
+fn conflicting_entries_are_replaced_and_persisted_again() {
     let mut log = log(&[1, 1, 2]);
     log.merge(vec![entry(2, 1), entry(3, 3), entry(4, 3)]);
     let write = log.take_write().expect("the log changed");
@@ -31,7 +31,7 @@
 /// Guards against counting unpersisted entries: a truncation while a write is in flight limits what
 /// its confirmation covers.
 #[test]
-fn a_confirmed_write_vouches_for_no_more_than_the_log_holds() {
+fn a_confirmed_write_covers_only_entries_still_in_the_log() {
     let mut log = log(&[1]);
     log.merge(vec![entry(2, 1), entry(3, 1), entry(4, 1)]);
     let first = log.take_write().expect("three entries");
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_snapshot_keeps_a_tail_for_those_a_little_behind() {
+fn compaction_keeps_a_tail_for_slow_followers() {
     let mut log = log(&[1; 10]);
     assert_eq!(log.compact(Index::new(8), 3, usize::MAX), Some(Index::new(5)));
     assert_eq!((log.first(), log.last()), (Index::new(6), at(10, 1)));
--- a/src/consensus/members/tests.rs
+++ b/src/consensus/members/tests.rs
@@ -11,18 +11,18 @@
 }
 
 #[parameterized(
-    a_member_again = { Change::AddLearner(id(1)), Refusal::InvalidTarget },
+    an_existing_member = { Change::AddLearner(id(1)), Refusal::InvalidTarget },
     a_second_witness = { Change::AddWitness(id(5)), Refusal::WitnessExists },
-    a_witness_to_lead = { Change::Promote(id(3)), Refusal::InvalidTarget },
-    a_stranger = { Change::Promote(id(9)), Refusal::InvalidTarget },
-    nobody = { Change::Remove(id(9)), Refusal::InvalidTarget },
+    a_witness_as_voter = { Change::Promote(id(3)), Refusal::InvalidTarget },
+    not_a_learner = { Change::Promote(id(9)), Refusal::InvalidTarget },
+    not_a_member = { Change::Remove(id(9)), Refusal::InvalidTarget },
 )]
 fn refuses(change: Change, refusal: Refusal) {
     assert_eq!(group().with_change(change), Err(refusal));
 }
 
 #[test]
-fn the_last_data_voter_stays() {
+fn the_last_data_voter_is_not_removed() {
     let one = Members::new([id(1)]).with_member(id(3), Role::Witness);
     assert_eq!(one.with_change(Change::Remove(id(1))), Err(Refusal::InvalidTarget));
 }
--- a/src/consensus/output.rs
+++ b/src/consensus/output.rs
@@ -47,21 +47,21 @@
     /// A proposal or change was appended. It succeeds once the entry at this position is applied,
     /// and has failed if an entry of another term is applied at its index.
     Appended {
-        /// The driver's number for it.
+        /// Identifies the request.
         token: Token,
         /// The position of its entry.
         position: Position,
     },
     /// A proposal, read or change was refused; nothing of it was or will be appended.
     Rejected {
-        /// The driver's number for it.
+        /// Identifies the request.
         token: Token,
         /// The reason.
         refusal: Refusal,
     },
     /// The state machine, with all outputs so far applied, may serve the read.
     ReadReady {
-        /// The driver's number for it.
+        /// Identifies the request.
         token: Token,
         /// The minimum applied index for the read.
         index: Index,
--- a/src/consensus/progress.rs
+++ b/src/consensus/progress.rs
@@ -156,8 +156,8 @@
         advance_timeout: Duration,
         now: Instant,
     ) -> bool {
-        let stuck = self.matched < last && self.last_advance + advance_timeout <= now;
-        !self.unresponsive && (stuck || self.last_response + response_timeout <= now)
+        let is_stalled = self.matched < last && self.last_advance + advance_timeout <= now;
+        !self.unresponsive && (is_stalled || self.last_response + response_timeout <= now)
     }
 
     /// Time since its last response.
--- a/src/consensus/read.rs
+++ b/src/consensus/read.rs
@@ -56,7 +56,7 @@
     /// None of that majority had entered a later term when it answered, so no later leader had
     /// committed anything before the round began.
     pub(super) fn confirm_round(&mut self) {
-        let own = self.id();
+        let own_id = self.id();
         let unconfirmed = self.has_fault(Fault::UnconfirmedRead);
         let members = self.log.members();
         let State::Leader(leader) = &mut self.state else {
@@ -65,7 +65,7 @@
         let mut answered: Vec<Round> = members
             .voters()
             .map(|id| {
-                if id == own {
+                if id == own_id {
                     leader.round
                 } else {
                     leader.progress.get(&id).map_or(Round::ZERO, |p| p.round)
--- a/src/consensus/replica/tests.rs
+++ b/src/consensus/replica/tests.rs
@@ -263,7 +263,7 @@
 /// Guards against a member list that grows with each restart of a VM without a disk, which gets a
 /// new identity each time.
 #[test]
-fn learners_that_fell_silent_are_let_go() {
+fn silent_learners_are_removed() {
     let members =
         three_voters().with_member(id(4), Role::Learner).with_member(id(5), Role::Learner);
     let mut group =
@@ -294,7 +294,7 @@
 /// to elect it. The witness gets an entry once the other data voter has it or has missed its
 /// heartbeats.
 #[test]
-fn the_witness_counts_once_the_other_data_voter_missed_its_heartbeats() {
+fn the_witness_gets_entries_once_the_other_data_voter_missed_its_heartbeats() {
     let members = Members::new([id(1), id(2)]).with_member(id(3), Role::Witness);
     let mut group = Group::with_leader(&members, |config| config);
     let commit = group.replica(1).commit();
@@ -311,7 +311,7 @@
 }
 
 #[test]
-fn a_lost_leader_beside_a_witness_is_followed_by_the_other_data_voter() {
+fn the_other_data_voter_and_the_witness_replace_a_lost_leader() {
     let members = Members::new([id(1), id(2)]).with_member(id(3), Role::Witness);
     let mut group = Group::with_leader(&members, |config| config);
     (0..10).for_each(|token| group.propose(1, token));
@@ -340,7 +340,7 @@
 }
 
 #[test]
-fn messages_survive_their_encoding_and_data_costs_no_more_than_its_bytes() {
+fn messages_round_trip_with_compact_data() {
     let data = Bytes::from(vec![255; 1000]);
     let entry = Entry::new(Position::new(Index::new(7), Term::new(3)), Payload::Data(data));
     let snapshot = Snapshot { position: entry.position, members: three_voters() };
