--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -1,4 +1,4 @@
-//! Decisions under load. No module here touches the network: time and state are passed in.
+//! Scheduling and load management decisions. These modules do no I/O; time and state are passed in.
 
 pub mod admission;
 pub mod engine;
