--- a/src/decide/quota.rs
+++ b/src/decide/quota.rs
@@ -1,24 +1,27 @@
-//! How much of what an organisation asks for is let through, true for all VMs together.
+//! Global admission quotas of organisations.
 //!
-//! **Load pattern.** One organisation asks for several times its allowance, through all VMs of all regions or through a few,
-//! from one second to the next. The others ask for what is theirs. An allowance counts tokens: one request in twenty holds
-//! nearly all of them.
+//! **Load pattern.** An organisation suddenly requests several times its allowance, through all VMs
+//! of all regions or a few of them, while the others stay within theirs. Allowances count tokens,
+//! and one request in twenty holds nearly all of them.
 //!
-//! **Without it.** Each VM sees a hundredth of what is asked for and can't tell. The engines fill with one organisation's
-//! prompts, and all others are refused.
+//! **Without it.** Each VM sees a hundredth of the demand and can't detect the excess. The engines
+//! fill with one organisation's prompts, and all others are refused.
 //!
-//! **Decision.** Each VM counts what every organisation asked for and what it let through ([`Meter`]), and tells it to a host
-//! of its region with what it tells it already ([`sharing`](super::sharing)). The hosts of the regions exchange their sums. A
-//! host keeps the balance of each organisation ([`Balances`]): what its allowance has earned less what was let through.
-//! From the balance and from what is asked for now follows the part of each [`Lane`] that all VMs let through. A part that is
-//! applied to each request needs no share a VM, so callers may move between VMs as they like. Requests of about one size are a
-//! lane, and lanes share max-min fairly: short questions, which hold a tenth of the tokens, don't wait for long prompts that hold
-//! the rest.
+//! **Decision.** Each VM counts what every organisation requested and what was admitted
+//! ([`Meter`]), and reports the counts to a host of its region along with its load
+//! ([`sharing`](super::sharing)). The hosts exchange their totals between regions. A host keeps a
+//! balance per organisation ([`Balances`]): the allowance earned less the units admitted. The
+//! balance and the current demand determine the admission rate of each [`CostClass`], which all VMs
+//! apply to each request. Admission rates need no quota per VM, so callers may move between VMs.
+//! Requests of similar cost form a class, and classes share max-min fairly, so that short requests
+//! don't wait for long ones that hold most of the tokens.
 //!
-//! What is known is some tenths of a second old. The balance counts all that was let through, so what was too much is
-//! made up for; the burst of an allowance is room for what is let through before a sudden rise is known.
+//! The counts are some tenths of a second old. The balance includes everything admitted, so an
+//! excess is compensated later; the burst of an allowance absorbs what is admitted before a sudden
+//! rise is known.
 //!
-//! A VM that hears no host goes on with the part that it heard last, and then takes a fixed multiple of an even share.
+//! A VM that receives no answer from a host keeps its last admission rates for a while, and then
+//! admits a fixed multiple of an equal share.
 
 mod balances;
 mod flow;
@@ -39,18 +42,19 @@
 pub use balances::Totals;
 pub use meter::Meter;
 
-/// An organisation that asked for nothing for so long is not told of, and then forgotten.
+/// How long a VM reports an idle organisation.
 pub const ACTIVE: Duration = Duration::from_secs(2);
 
-/// The part of the excess that is given away; the rest is for what is let through before it is known.
-const GIVEN: f64 = 0.5;
+/// Fraction of the tolerated excess that is granted; the rest covers requests admitted before a
+/// rise is known.
+const GRANTED_FRACTION: f64 = 0.5;
 
-/// A short name for an organisation in messages.
+/// Compact identifier of an organisation in messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key(u64);
 
 impl Key {
-    /// The key of that organisation.
+    /// The key of an organisation.
     pub fn new(organisation: &id::Owner) -> Self {
         Self(xxh3_64(organisation.as_str().as_bytes()))
     }
@@ -61,23 +65,23 @@
     }
 }
 
-/// The requests of an organisation that cost about as much.
+/// The requests of an organisation of similar cost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(from = "(Key, u8)", into = "(Key, u8)")]
-pub struct Lane {
+pub struct CostClass {
     /// The organisation.
     pub organisation: Key,
-    /// The logarithm of the cost to the base of [`LANE_COSTS`].
+    /// The logarithm of the cost to the base [`CLASS_COST_RATIO`].
     size: u8,
 }
 
-/// The costs in a lane differ by this factor at most.
-const LANE_COSTS: u64 = 8;
+/// Maximum ratio of the costs in a class.
+const CLASS_COST_RATIO: u64 = 8;
 
-impl Lane {
-    /// The lane of a request of that cost.
+impl CostClass {
+    /// The class of requests of that cost.
     pub fn new(organisation: Key, cost: u64) -> Self {
-        Self { organisation, size: cost.max(1).ilog(LANE_COSTS) as u8 }
+        Self { organisation, size: cost.max(1).ilog(CLASS_COST_RATIO) as u8 }
     }
 
     /// The shard whose host counts it.
@@ -86,75 +90,75 @@
     }
 }
 
-impl From<(Key, u8)> for Lane {
+impl From<(Key, u8)> for CostClass {
     fn from((organisation, size): (Key, u8)) -> Self {
         Self { organisation, size }
     }
 }
 
-impl From<Lane> for (Key, u8) {
-    fn from(lane: Lane) -> Self {
-        (lane.organisation, lane.size)
+impl From<CostClass> for (Key, u8) {
+    fn from(class: CostClass) -> Self {
+        (class.organisation, class.size)
     }
 }
 
-/// What the operator bears beyond an allowance in any span of some seconds.
+/// Excess over an allowance that the operator tolerates within a few seconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Excess {
-    /// A part of the allowance.
+    /// As a fraction of the allowance.
     pub share: f64,
-    /// Units besides.
+    /// In units, in addition.
     pub units: f64,
 }
 
 impl Excess {
-    /// The allowance with the part of the excess that is given away.
-    fn give(self, allowance: &Allowance) -> Allowance {
-        let more = 1.0 + self.share * GIVEN;
+    /// The allowance with the granted part of the excess added.
+    fn grant_to(self, allowance: &Allowance) -> Allowance {
+        let more = 1.0 + self.share * GRANTED_FRACTION;
         Allowance {
             rate: Rate::per_second(allowance.rate.get() * more),
-            burst: allowance.burst * more + self.units * GIVEN,
+            burst: allowance.burst * more + self.units * GRANTED_FRACTION,
             ..*allowance
         }
     }
 }
 
-/// Units since a start.
+/// Cumulative units since the start of the counter.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct Count {
-    /// Asked for.
-    pub asked: u64,
-    /// Let through; what turned out not to run is taken off again.
-    pub passed: u64,
+    /// Units requested.
+    pub requested: u64,
+    /// Units admitted, less those refunded.
+    pub admitted: u64,
 }
 
 impl From<(u64, u64)> for Count {
-    fn from((asked, passed): (u64, u64)) -> Self {
-        Self { asked, passed }
+    fn from((requested, admitted): (u64, u64)) -> Self {
+        Self { requested, admitted }
     }
 }
 
 impl From<Count> for (u64, u64) {
     fn from(count: Count) -> Self {
-        (count.asked, count.passed)
+        (count.requested, count.admitted)
     }
 }
 
-/// The part of an organisation's requests that is let through, in thousandths.
+/// The fraction of an organisation's requests to admit, in thousandths.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Part(u16);
+pub struct AdmissionRate(u16);
 
-impl Part {
-    /// All of them.
+impl AdmissionRate {
+    /// Admits all requests.
     pub const WHOLE: Self = Self(1000);
 
-    /// That part; all where it is one or more.
-    pub fn new(part: f64) -> Self {
-        Self((part.clamp(0.0, 1.0) * 1000.0) as u16)
+    /// Creates a rate, clamped to the range from 0 to 1.
+    pub fn new(rate: f64) -> Self {
+        Self((rate.clamp(0.0, 1.0) * 1000.0) as u16)
     }
 
-    /// The part as a number from zero to one.
+    /// The rate as a number from 0 to 1.
     pub fn get(self) -> f64 {
         f64::from(self.0.min(Self::WHOLE.0)) / 1000.0
     }
--- a/src/decide/quota/balances.rs
+++ b/src/decide/quota/balances.rs
@@ -1,4 +1,4 @@
-//! A host's balances of organisations over all regions.
+//! Host side: balances of organisations over all regions.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -9,12 +9,12 @@
 use tokio::time::Instant;
 
 use super::ACTIVE;
+use super::AdmissionRate;
+use super::CostClass;
 use super::Count;
 use super::Excess;
-use super::GIVEN;
+use super::GRANTED_FRACTION;
 use super::Key;
-use super::Lane;
-use super::Part;
 use super::flow::Flow;
 use crate::decide::sharing::SHARDS;
 use crate::decide::sharing::UPDATE_INTERVAL;
@@ -23,60 +23,65 @@
 use crate::id;
 use crate::routing::organisation::Allowance;
 
-/// A balance that differs from zero is made up for within this: longer than what is known is old, or the part would swing.
-const SETTLED: Duration = Duration::from_secs(1);
+/// Time in which a balance is brought back to zero; longer than the reporting delay, to avoid
+/// oscillation.
+const SETTLING_TIME: Duration = Duration::from_secs(1);
 
-/// A host that VMs have told for a shorter time doesn't know yet who asks for too much.
-const LEARNING: Duration = Duration::from_secs(1);
+/// How long a host must have received counts before it knows which organisations exceed their
+/// allowance.
+const WARM_UP: Duration = Duration::from_secs(1);
 
-/// What VMs let through between the last word to one host and the first to the next isn't counted by either.
-const UNSEEN: Duration = UPDATE_INTERVAL.saturating_mul(MAX_UNANSWERED as u32);
+/// Units admitted between the last report to one host and the first to the next are not counted by
+/// either.
+const UNCOUNTED: Duration = UPDATE_INTERVAL.saturating_mul(MAX_UNANSWERED as u32);
 
-/// A region that says nothing is taken to let as much through as before, for so long.
-const ASSUMED: Duration = Duration::from_secs(6);
+/// How long a silent region is assumed to admit as much as before.
+const SILENT_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// The organisations of a message at most.
-const MOST: usize = 1000;
+/// Upper bound on the entries of a message.
+const MAX_ENTRIES: usize = 1000;
 
-/// What a region's VMs have counted, as its host tells those of other regions.
+/// The counts of a region's VMs, sent by its host to those of other regions.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Totals {
     /// The shard.
     #[serde(rename = "s")]
     pub shard: u8,
-    /// Tells one start of the host from another.
+    /// Identifies the host's start.
     #[serde(rename = "b")]
     pub start: u64,
-    /// Counts the messages of that start.
+    /// Sequence number within that start.
     #[serde(rename = "n")]
     pub number: u64,
-    /// The counts since that start, of lanes in which anything is asked for.
+    /// Counts since that start, of active classes.
     #[serde(rename = "c")]
-    pub counts: Vec<(Lane, Count)>,
+    pub counts: Vec<(CostClass, Count)>,
 }
 
 impl Totals {
-    /// Whether a host can have sent it.
-    pub fn is_sound(&self) -> bool {
-        self.counts.len() <= MOST && self.counts.iter().all(|(lane, _)| lane.shard() == self.shard)
+    /// Whether it is plausible.
+    pub fn is_valid(&self) -> bool {
+        self.counts.len() <= MAX_ENTRIES
+            && self.counts.iter().all(|(class, _)| class.shard() == self.shard)
     }
 }
 
-/// What one source, a VM or another region, has told.
+/// The last counts of a source, which is a VM or another region.
 #[derive(Debug, Default)]
 struct Source {
     start: u64,
     number: u64,
-    counts: HashMap<Lane, Count>,
+    counts: HashMap<CostClass, Count>,
 }
 
 impl Source {
-    /// What is new in a statement; none where it is overtaken. Of a start that is first heard of, nothing is known to be new.
-    fn take(
+    /// Applies counts and returns the increments, or `None` if they are out of date. The first
+    /// counts of a start are only a baseline.
+    fn apply(
         &mut self,
         (start, number): (u64, u64),
-        counts: &[(Lane, Count)],
-    ) -> Option<Vec<(Lane, Step)>> {
+        counts: &[(CostClass, Count)],
+    ) -> Option<Vec<(CostClass, Increment)>> {
         let is_known = self.start == start;
         if is_known && number <= self.number {
             return None;
@@ -85,62 +90,62 @@
             self.counts.clear();
         }
         (self.start, self.number) = (start, number);
-        let mut steps = Vec::with_capacity(counts.len());
-        for (lane, count) in counts {
-            let before = self.counts.insert(*lane, *count);
+        let mut increments = Vec::with_capacity(counts.len());
+        for (class, count) in counts {
+            let before = self.counts.insert(*class, *count);
             let base = match before {
-                // A count that starts anew, where a source has forgotten it.
-                Some(before) if before.asked <= count.asked => before,
+                // The source has dropped and restarted this count.
+                Some(before) if before.requested <= count.requested => before,
                 Some(_) => Count::default(),
                 None if is_known => Count::default(),
                 None => *count,
             };
-            steps.push((*lane, Step::between(base, *count)));
+            increments.push((*class, Increment::between(base, *count)));
         }
-        Some(steps)
+        Some(increments)
     }
 }
 
-/// What came between two statements.
+/// The increment between two counts.
 #[derive(Debug, Clone, Copy)]
-struct Step {
-    asked: f64,
-    passed: f64,
+struct Increment {
+    requested: f64,
+    admitted: f64,
 }
 
-impl Step {
+impl Increment {
     fn between(before: Count, after: Count) -> Self {
         Self {
-            asked: after.asked.saturating_sub(before.asked) as f64,
-            passed: after.passed as f64 - before.passed as f64,
+            requested: after.requested.saturating_sub(before.requested) as f64,
+            admitted: after.admitted as f64 - before.admitted as f64,
         }
     }
 }
 
-/// One organisation in another region.
+/// An organisation's use in another region.
 #[derive(Debug)]
-struct There {
-    asked: BTreeMap<Lane, Flow>,
-    passed: Flow,
-    /// When the region's host told anything of the shard.
-    heard: Instant,
-    /// What was let through there and is not yet taken off the balance; negative where more was assumed.
+struct RemoteUse {
+    requested: BTreeMap<CostClass, Flow>,
+    admitted: Flow,
+    /// When the region's host last reported the shard.
+    last_report: Instant,
+    /// Units admitted there that are not yet deducted; negative if more was assumed.
     due: f64,
 }
 
-/// One organisation.
+/// The balance of an organisation.
 #[derive(Debug)]
 struct Balance {
-    /// What its allowance has earned less what was let through.
+    /// Units earned less units admitted.
     level: f64,
     at: Instant,
     last: Instant,
-    /// What is asked for in this region, and its counts since the host's start.
-    here: BTreeMap<Lane, (Flow, Count)>,
-    there: BTreeMap<id::Region, There>,
+    /// Demand in this region, and its counts since the host's start.
+    local: BTreeMap<CostClass, (Flow, Count)>,
+    remote: BTreeMap<id::Region, RemoteUse>,
 }
 
-/// The balances that a VM keeps as a host.
+/// The balances kept by a host.
 #[derive(Debug)]
 pub struct Balances {
     start: u64,
@@ -148,15 +153,16 @@
     excess: Excess,
     allowances: HashMap<Key, Allowance>,
     vms: HashMap<(id::Vm, u8), Source>,
-    /// Hosts of other regions, each with the shard that it told of.
-    abroad: HashMap<(id::Vm, u8), Source>,
-    /// Since when VMs of this region tell of each shard without a pause, and when one did last.
-    told: [Option<(Instant, Instant)>; SHARDS as usize],
+    /// Hosts of other regions, by shard.
+    remote_hosts: HashMap<(id::Vm, u8), Source>,
+    /// For each shard, since when VMs of this region have reported without a gap, and when one did
+    /// last.
+    reported: [Option<(Instant, Instant)>; SHARDS as usize],
     balances: HashMap<Key, Balance>,
 }
 
 impl Balances {
-    /// A host that has heard nothing; `start` tells it from its starts before.
+    /// Creates balances without counts; `start` identifies this start of the host.
     pub fn new(start: u64, excess: Excess) -> Self {
         Self {
             start,
@@ -164,107 +170,113 @@
             excess,
             allowances: HashMap::new(),
             vms: HashMap::new(),
-            abroad: HashMap::new(),
-            told: [None; SHARDS as usize],
+            remote_hosts: HashMap::new(),
+            reported: [None; SHARDS as usize],
             balances: HashMap::new(),
         }
     }
 
-    /// Takes in what organisations may ask for.
+    /// Replaces the allowances of all organisations.
     pub fn set_allowances(&mut self, allowances: HashMap<Key, Allowance>) {
         self.balances.retain(|key, _| allowances.contains_key(key));
-        let given = allowances.into_iter();
+        let allowances = allowances.into_iter();
         self.allowances =
-            given.map(|(key, allowance)| (key, self.excess.give(&allowance))).collect();
+            allowances.map(|(key, allowance)| (key, self.excess.grant_to(&allowance))).collect();
     }
 
-    /// A VM of this region tells its counts.
-    pub fn take(
+    /// Applies the counts of a VM of this region.
+    pub fn apply_counts(
         &mut self,
         (vm, shard): (&id::Vm, u8),
         version: (u64, u64),
-        counts: &[(Lane, Count)],
+        counts: &[(CostClass, Count)],
         now: Instant,
     ) {
-        let Some(told) = self.told.get_mut(usize::from(shard)) else { return };
-        let since = told.filter(|(_, last)| now.saturating_duration_since(*last) < UPDATE_TTL);
-        *told = Some((since.map_or(now, |(since, _)| since), now));
+        let Some(reported) = self.reported.get_mut(usize::from(shard)) else { return };
+        let since = reported.filter(|(_, last)| now.saturating_duration_since(*last) < UPDATE_TTL);
+        *reported = Some((since.map_or(now, |(since, _)| since), now));
         let source = self.vms.entry((vm.clone(), shard)).or_default();
-        // A host that takes over doesn't know how much of a VM's count its predecessor knew.
-        for (lane, step) in source.take(version, counts).unwrap_or_default() {
-            let Some(balance) = self.balance(lane.organisation, now) else { continue };
-            balance.level -= step.passed;
+        // After a takeover it is unknown how much of a VM's count the previous host included.
+        for (class, increment) in source.apply(version, counts).unwrap_or_default() {
+            let Some(balance) = self.balance(class.organisation, now) else { continue };
+            balance.level -= increment.admitted;
             balance.last = now;
-            let (asked, count) =
-                balance.here.entry(lane).or_insert_with(|| (Flow::new(now), Count::default()));
-            asked.add(step.asked, now);
-            count.asked = count.asked.saturating_add(step.asked as u64);
-            count.passed = count.passed.saturating_add_signed(step.passed as i64);
+            let (requested, count) =
+                balance.local.entry(class).or_insert_with(|| (Flow::new(now), Count::default()));
+            requested.add(increment.requested, now);
+            count.requested = count.requested.saturating_add(increment.requested as u64);
+            count.admitted = count.admitted.saturating_add_signed(increment.admitted as i64);
         }
     }
 
-    /// The host of another region tells its sums.
-    pub fn take_totals(
+    /// Applies the totals of a host in another region.
+    pub fn apply_totals(
         &mut self,
         (host, region): (&id::Vm, &id::Region),
         totals: &Totals,
         now: Instant,
     ) {
-        let source = self.abroad.entry((host.clone(), totals.shard)).or_default();
-        let Some(steps) = source.take((totals.start, totals.number), &totals.counts) else {
+        let source = self.remote_hosts.entry((host.clone(), totals.shard)).or_default();
+        let Some(increments) = source.apply((totals.start, totals.number), &totals.counts) else {
             return;
         };
         let of_shard = self.balances.iter_mut().filter(|(key, _)| key.shard() == totals.shard);
-        for there in of_shard.filter_map(|(_, balance)| balance.there.get_mut(region)) {
-            there.heard = now;
+        for remote in of_shard.filter_map(|(_, balance)| balance.remote.get_mut(region)) {
+            remote.last_report = now;
         }
-        for (lane, step) in steps {
-            let Some(balance) = self.balance(lane.organisation, now) else { continue };
+        for (class, increment) in increments {
+            let Some(balance) = self.balance(class.organisation, now) else { continue };
             balance.last = now;
-            balance.there(region, now).heard(lane, step, now);
+            balance.remote(region, now).record(class, increment, now);
         }
     }
 
-    /// What the hosts of other regions are told of a shard, also that nothing is asked for any more; none where no VM of this
-    /// region tells this one.
+    /// The totals of a shard for the hosts of other regions, empty once nothing is requested;
+    /// `None` if no VM of this region reports to this host.
     ///
-    /// Failure: a VM that was told as the next in line to host a shard tells on what it knows, which is nothing, and its
-    /// empty sums replace those of the host.
+    /// Guards against a standby host whose empty totals replace those of the active one.
     pub fn totals(&mut self, shard: u8, now: Instant) -> Option<Totals> {
-        self.balances.retain(|_, balance| now.saturating_duration_since(balance.last) < ASSUMED);
-        let (_, told) = (*self.told.get(usize::from(shard))?)?;
-        if now.saturating_duration_since(told) >= ASSUMED {
+        self.balances
+            .retain(|_, balance| now.saturating_duration_since(balance.last) < SILENT_TIMEOUT);
+        let (_, reported) = (*self.reported.get(usize::from(shard))?)?;
+        if now.saturating_duration_since(reported) >= SILENT_TIMEOUT {
             return None;
         }
         let of_shard = self.balances.iter().filter(|(key, _)| key.shard() == shard);
         let active = of_shard.filter(|(_, balance)| balance.is_active(now));
-        let lanes = active.flat_map(|(_, balance)| &balance.here);
-        let counts = lanes.map(|(lane, (_, count))| (*lane, *count)).take(MOST).collect();
+        let classes = active.flat_map(|(_, balance)| &balance.local);
+        let counts =
+            classes.map(|(class, (_, count))| (*class, *count)).take(MAX_ENTRIES).collect();
         self.number += 1;
         Some(Totals { shard, start: self.start, number: self.number, counts })
     }
 
-    /// The parts of the lanes of a shard that are limited; none where this VM has hosted the shard for too short a time to tell.
+    /// The admission rates of the limited classes of a shard; `None` if this VM has not hosted the
+    /// shard for long enough.
     ///
-    /// Failure: a host is lost, the next one has seen no rise, and tells VMs that nobody is limited.
-    pub fn parts(&mut self, shard: u8, now: Instant) -> Option<Vec<(Lane, Part)>> {
-        let (since, _) = (*self.told.get(usize::from(shard))?)?;
-        if now.saturating_duration_since(since) < LEARNING {
+    /// Guards against a new host that has not seen the demand and tells VMs that nobody is limited.
+    pub fn admission_rates(
+        &mut self,
+        shard: u8,
+        now: Instant,
+    ) -> Option<Vec<(CostClass, AdmissionRate)>> {
+        let (since, _) = (*self.reported.get(usize::from(shard))?)?;
+        if now.saturating_duration_since(since) < WARM_UP {
             return None;
         }
-        let mut parts = Vec::new();
+        let mut rates = Vec::new();
         for (key, balance) in self.balances.iter_mut().filter(|(key, _)| key.shard() == shard) {
             if let Some(allowance) = self.allowances.get(key) {
-                parts.extend(balance.parts(allowance, now));
+                rates.extend(balance.admission_rates(allowance, now));
             }
         }
-        Some(parts)
+        Some(rates)
     }
 
     fn balance(&mut self, key: Key, now: Instant) -> Option<&mut Balance> {
         let allowance = self.allowances.get(&key)?;
         let balance = self.balances.entry(key).or_insert_with(|| {
-            Balance::new(self.excess.units * GIVEN - allowance.rate.over(UNSEEN), now)
+            Balance::new(self.excess.units * GRANTED_FRACTION - allowance.rate.over(UNCOUNTED), now)
         });
         balance.earn(allowance, now);
         Some(balance)
@@ -272,58 +284,66 @@
 }
 
 impl Balance {
-    /// What was let through before isn't known: it starts with what is given away in any case, less what may have been let
-    /// through unseen.
+    /// Creates a balance. The units admitted before are unknown, so it starts with the granted
+    /// excess less what may have been admitted uncounted.
     fn new(level: f64, now: Instant) -> Self {
-        Self { level, at: now, last: now, here: BTreeMap::new(), there: BTreeMap::new() }
+        Self { level, at: now, last: now, local: BTreeMap::new(), remote: BTreeMap::new() }
     }
 
     fn is_active(&self, now: Instant) -> bool {
         now.saturating_duration_since(self.last) < ACTIVE
     }
 
-    fn there(&mut self, region: &id::Region, now: Instant) -> &mut There {
-        self.there.entry(region.clone()).or_insert_with(|| There {
-            asked: BTreeMap::new(),
-            passed: Flow::new(now),
-            heard: now,
+    fn remote(&mut self, region: &id::Region, now: Instant) -> &mut RemoteUse {
+        self.remote.entry(region.clone()).or_insert_with(|| RemoteUse {
+            requested: BTreeMap::new(),
+            admitted: Flow::new(now),
+            last_report: now,
             due: 0.0,
         })
     }
 
-    /// Takes in what the allowance has earned, and what other regions have told, or are taken to have let through.
+    /// Adds what the allowance has earned and deducts the use of other regions, assumed for silent
+    /// ones.
     fn earn(&mut self, allowance: &Allowance, now: Instant) {
         let span = now.saturating_duration_since(self.at);
         self.at = now;
         self.level += allowance.rate.over(span);
-        for there in self.there.values_mut() {
-            self.level -= there.settle(span, now);
+        for remote in self.remote.values_mut() {
+            self.level -= remote.settle(span, now);
         }
         self.level = self.level.min(allowance.burst);
     }
 
-    fn parts(&mut self, allowance: &Allowance, now: Instant) -> Vec<(Lane, Part)> {
+    fn admission_rates(
+        &mut self,
+        allowance: &Allowance,
+        now: Instant,
+    ) -> Vec<(CostClass, AdmissionRate)> {
         self.earn(allowance, now);
-        let mut asked: BTreeMap<Lane, f64> =
-            self.here.iter().map(|(lane, (asked, _))| (*lane, asked.rate(now))).collect();
-        for there in self.there.values() {
-            for (lane, flow) in &there.asked {
-                *asked.entry(*lane).or_default() += there.rate(flow, now);
+        let mut requested: BTreeMap<CostClass, f64> = self
+            .local
+            .iter()
+            .map(|(class, (requested, _))| (*class, requested.rate(now)))
+            .collect();
+        for remote in self.remote.values() {
+            for (class, flow) in &remote.requested {
+                *requested.entry(*class).or_default() += remote.rate(flow, now);
             }
         }
-        let allowed = (allowance.rate.get() + self.level / SETTLED.as_secs_f64()).max(0.0);
-        let most = level_of(allowed, asked.values().copied().collect());
-        let limited = asked.into_iter().filter(|(_, asked)| *asked > most);
-        limited.map(|(lane, asked)| (lane, Part::new(most / asked))).collect()
+        let allowed = (allowance.rate.get() + self.level / SETTLING_TIME.as_secs_f64()).max(0.0);
+        let most = fair_level(allowed, requested.values().copied().collect());
+        let limited = requested.into_iter().filter(|(_, requested)| *requested > most);
+        limited.map(|(class, requested)| (class, AdmissionRate::new(most / requested))).collect()
     }
 }
 
-/// The most that each of those that ask gets, so that all together get `allowed`: max-min fair.
-fn level_of(allowed: f64, mut asked: Vec<f64>) -> f64 {
-    asked.sort_unstable_by(f64::total_cmp);
+/// The max-min fair level: the most that each demand gets so that the sum is `allowed`.
+fn fair_level(allowed: f64, mut requested: Vec<f64>) -> f64 {
+    requested.sort_unstable_by(f64::total_cmp);
     let mut left = allowed;
-    for (nth, asks) in asked.iter().enumerate() {
-        let level = left / (asked.len() - nth) as f64;
+    for (nth, asks) in requested.iter().enumerate() {
+        let level = left / (requested.len() - nth) as f64;
         if *asks > level {
             return level;
         }
@@ -332,25 +352,27 @@
     f64::INFINITY
 }
 
-/// A region's totals are a round and a trip old; after this it is taken to be silent.
-const QUIET: Duration = Duration::from_millis(500);
+/// Age of a region's last totals after which it is considered silent; they are normally one update
+/// interval and a trip old.
+const SILENCE_THRESHOLD: Duration = Duration::from_millis(500);
 
-impl There {
-    fn heard(&mut self, lane: Lane, step: Step, now: Instant) {
-        self.asked.entry(lane).or_insert_with(|| Flow::new(now)).add(step.asked, now);
-        self.passed.add(step.passed, now);
-        self.due += step.passed;
+impl RemoteUse {
+    fn record(&mut self, class: CostClass, increment: Increment, now: Instant) {
+        self.requested.entry(class).or_insert_with(|| Flow::new(now)).add(increment.requested, now);
+        self.admitted.add(increment.admitted, now);
+        self.due += increment.admitted;
     }
 
-    /// Whether the region is cut off, as far as is known, and may go on as before.
+    /// Whether the region seems disconnected and is assumed to continue as before.
     fn is_silent(&self, now: Instant) -> bool {
-        (QUIET..ASSUMED).contains(&now.saturating_duration_since(self.heard))
+        (SILENCE_THRESHOLD..SILENT_TIMEOUT)
+            .contains(&now.saturating_duration_since(self.last_report))
     }
 
-    /// What is taken off the balance: what was told, and what is assumed while nothing is.
+    /// The units to deduct: those reported, or an estimate while the region is silent.
     fn settle(&mut self, span: Duration, now: Instant) -> f64 {
         if self.is_silent(now) {
-            let assumed = self.passed.last().max(0.0) * span.as_secs_f64();
+            let assumed = self.admitted.last().max(0.0) * span.as_secs_f64();
             self.due -= assumed;
             return assumed;
         }
--- a/src/decide/quota/meter.rs
+++ b/src/decide/quota/meter.rs
@@ -1,4 +1,4 @@
-//! One VM's count of what organisations ask for, and the decision on each request.
+//! A VM's counts of requested and admitted units, and the admission of each request.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,75 +8,77 @@
 use tokio::time::Instant;
 
 use super::ACTIVE;
+use super::AdmissionRate;
+use super::CostClass;
 use super::Count;
 use super::Excess;
 use super::Key;
-use super::Lane;
-use super::Part;
 use crate::decide::sharing::SHARDS;
 use crate::routing::organisation::Allowance;
 
-/// What a host said counts for so long, and that it said nothing of an organisation does too.
-const FRESH: Duration = Duration::from_millis(1000);
+/// How long a host's answer is current, including the absence of limits in it.
+const ANSWER_TTL: Duration = Duration::from_millis(1000);
 
-/// A part that a host told is kept for so long where no host answers any more. A VM that is cut off for longer takes no more
-/// keys where organisations can be limited strictly, and its share is small elsewhere.
-const HELD: Duration = Duration::from_secs(6);
+/// How long the last admission rates are used without an answer. A VM that is disconnected for
+/// longer refuses keys if organisations can be limited strictly, and its share is small otherwise.
+const RATE_TTL: Duration = Duration::from_secs(6);
 
-/// A VM that hears no host takes so many even shares: callers don't spread evenly, and few VMs are without a host at a time.
-const ALONE_SHARES: f64 = 4.0;
+/// Multiple of an equal share that a VM without a host admits, because callers are spread unevenly
+/// and few VMs lack a host at a time.
+const FALLBACK_SHARES: f64 = 4.0;
 
-/// The soonest and the latest that a caller beyond its allowance is told to come back.
-const SOONEST: Duration = Duration::from_millis(300);
-const LATEST: Duration = Duration::from_secs(2);
+/// Bounds on the retry delay given to a refused caller.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(300);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// One lane of an organisation at this VM.
+/// A cost class of an organisation on this VM.
 #[derive(Debug, Default)]
-struct Counted {
+struct ClassState {
     count: Count,
-    /// What is left of the part: a request is let through whenever it reaches one.
+    /// Accumulated admission rate: a request is admitted whenever it reaches 1.
     credit: f64,
 }
 
-/// One organisation at this VM.
+/// An organisation on this VM.
 #[derive(Debug)]
 struct Entry {
-    lanes: HashMap<Lane, Counted>,
+    classes: HashMap<CostClass, ClassState>,
     last: Instant,
-    /// What this VM may let through while it hears no host, in units.
-    alone: f64,
-    /// What is left of the whole allowance if no other VM let anything through, in units.
-    whole: f64,
+    /// Units that this VM may still admit without a host.
+    fallback: f64,
+    /// Units left of the whole allowance if no other VM admitted any.
+    remaining: f64,
     refilled: Instant,
 }
 
-/// All organisations that asked this VM lately.
+/// All organisations with recent requests on this VM.
 #[derive(Debug)]
 pub struct Meter {
     rng: SmallRng,
-    /// The VMs that organisations may ask, this one among them.
-    vms: u32,
+    /// Number of VMs that organisations may use, including this one.
+    vm_count: u32,
     excess: Excess,
     entries: HashMap<Key, Entry>,
-    /// The lanes that are limited, and when that was told. A lane may be limited that this VM has not seen yet.
-    parts: HashMap<Lane, (Part, Instant)>,
-    /// When the host of each shard answered last.
-    heard: [Option<Instant>; SHARDS as usize],
+    /// Admission rates of limited classes and when they were received, also of classes without
+    /// requests on this VM.
+    rates: HashMap<CostClass, (AdmissionRate, Instant)>,
+    /// Time of the last answer from the host of each shard.
+    last_answer: [Option<Instant>; SHARDS as usize],
 }
 
 impl Meter {
-    /// A meter of a VM that knows of no other one.
+    /// Creates a meter that assumes no other VMs.
     pub fn new(rng: SmallRng, excess: Excess) -> Self {
-        let (entries, parts) = (HashMap::new(), HashMap::new());
-        Self { rng, vms: 1, excess, entries, parts, heard: [None; SHARDS as usize] }
+        let (entries, rates) = (HashMap::new(), HashMap::new());
+        Self { rng, vm_count: 1, excess, entries, rates, last_answer: [None; SHARDS as usize] }
     }
 
-    /// There are so many VMs, this one among them.
-    pub fn set_vms(&mut self, vms: u32) {
-        self.vms = vms.max(1);
+    /// Sets the number of VMs, including this one.
+    pub fn set_vm_count(&mut self, vm_count: u32) {
+        self.vm_count = vm_count.max(1);
     }
 
-    /// Decides on a request of that cost. If it is refused, its caller should come back after the time that is returned.
+    /// Admits a request of that cost, or returns the delay after which its caller should retry.
     pub fn admit(
         &mut self,
         key: Key,
@@ -84,90 +86,90 @@
         cost: u64,
         now: Instant,
     ) -> Result<(), Duration> {
-        let allowance = self.excess.give(allowance);
-        let share = (ALONE_SHARES / f64::from(self.vms)).min(1.0);
-        let alone_most = allowance.burst.max(allowance.rate.get()) * share;
-        let part = self.part(Lane::new(key, cost), now);
-        let heard = self.heard[usize::from(key.shard())];
-        let is_fresh = heard.is_some_and(|at| now.saturating_duration_since(at) < FRESH);
+        let allowance = self.excess.grant_to(allowance);
+        let share = (FALLBACK_SHARES / f64::from(self.vm_count)).min(1.0);
+        let max_fallback = allowance.burst.max(allowance.rate.get()) * share;
+        let rate = self.rate(CostClass::new(key, cost), now);
+        let last_answer = self.last_answer[usize::from(key.shard())];
+        let is_fresh = last_answer.is_some_and(|at| now.saturating_duration_since(at) < ANSWER_TTL);
         let entry = self.entries.entry(key).or_insert_with(|| Entry {
-            lanes: HashMap::new(),
+            classes: HashMap::new(),
             last: now,
-            alone: alone_most,
-            whole: allowance.burst,
+            fallback: max_fallback,
+            remaining: allowance.burst,
             refilled: now,
         });
         let earned = allowance.rate.over(now.saturating_duration_since(entry.refilled));
-        entry.alone = (entry.alone + earned * share).min(alone_most);
-        entry.whole = (entry.whole + earned).min(allowance.burst);
+        entry.fallback = (entry.fallback + earned * share).min(max_fallback);
+        entry.remaining = (entry.remaining + earned).min(allowance.burst);
         (entry.last, entry.refilled) = (now, now);
-        let has_room = entry.whole > 0.0;
-        let may_alone = is_fresh || entry.alone > 0.0;
-        let lane = entry.lanes.entry(Lane::new(key, cost)).or_default();
-        lane.count.asked = lane.count.asked.saturating_add(cost);
-        let is_let_through = match part {
+        let has_room = entry.remaining > 0.0;
+        let may_fall_back = is_fresh || entry.fallback > 0.0;
+        let class = entry.classes.entry(CostClass::new(key, cost)).or_default();
+        class.count.requested = class.count.requested.saturating_add(cost);
+        let is_admitted = match rate {
             _ if !has_room => false,
-            Some(part) => lane.draw(part, &mut self.rng),
-            None => may_alone,
+            Some(rate) => class.admit_next(rate, &mut self.rng),
+            None => may_fall_back,
         };
-        if !is_let_through {
-            return Err(comes_back(part));
+        if !is_admitted {
+            return Err(retry_delay(rate));
         }
-        lane.count.passed = lane.count.passed.saturating_add(cost);
-        entry.alone -= cost as f64;
-        entry.whole -= cost as f64;
+        class.count.admitted = class.count.admitted.saturating_add(cost);
+        entry.fallback -= cost as f64;
+        entry.remaining -= cost as f64;
         Ok(())
     }
 
-    /// A request that was let through has surely not run.
-    pub fn give_back(&mut self, key: Key, cost: u64) {
+    /// Refunds an admitted request that certainly did not run.
+    pub fn refund(&mut self, key: Key, cost: u64) {
         let Some(entry) = self.entries.get_mut(&key) else { return };
-        let Some(lane) = entry.lanes.get_mut(&Lane::new(key, cost)) else { return };
-        lane.count.passed = lane.count.passed.saturating_sub(cost);
-        entry.alone += cost as f64;
-        entry.whole += cost as f64;
+        let Some(class) = entry.classes.get_mut(&CostClass::new(key, cost)) else { return };
+        class.count.admitted = class.count.admitted.saturating_sub(cost);
+        entry.fallback += cost as f64;
+        entry.remaining += cost as f64;
     }
 
-    /// What the host of a shard is told.
-    pub fn counts(&mut self, shard: u8, now: Instant) -> Vec<(Lane, Count)> {
+    /// The counts to report to the host of a shard.
+    pub fn counts(&mut self, shard: u8, now: Instant) -> Vec<(CostClass, Count)> {
         let is_within =
             |entry: &Entry, span: Duration| now.saturating_duration_since(entry.last) < span;
-        // A count starts anew where it is forgotten, which a host takes for nothing new.
-        self.entries.retain(|_, entry| is_within(entry, HELD));
+        // A dropped count restarts at zero, which the host handles.
+        self.entries.retain(|_, entry| is_within(entry, RATE_TTL));
         let of_shard = self.entries.iter().filter(|(key, _)| key.shard() == shard);
         let active = of_shard.filter(|(_, entry)| is_within(entry, ACTIVE));
-        let lanes = active.flat_map(|(_, entry)| &entry.lanes);
-        lanes.map(|(lane, counted)| (*lane, counted.count)).collect()
+        let classes = active.flat_map(|(_, entry)| &entry.classes);
+        classes.map(|(class, state)| (*class, state.count)).collect()
     }
 
-    /// The host of a shard told the parts of lanes that are limited; the others are not.
-    pub fn told(&mut self, shard: u8, parts: &[(Lane, Part)], now: Instant) {
-        let Some(heard) = self.heard.get_mut(usize::from(shard)) else { return };
-        *heard = Some(now);
-        self.parts.retain(|lane, _| lane.shard() != shard);
-        self.parts.extend(parts.iter().map(|(lane, part)| (*lane, (*part, now))));
+    /// Applies the admission rates from the host of a shard; classes not listed are not limited.
+    pub fn apply_rates(&mut self, shard: u8, rates: &[(CostClass, AdmissionRate)], now: Instant) {
+        let Some(last_answer) = self.last_answer.get_mut(usize::from(shard)) else { return };
+        *last_answer = Some(now);
+        self.rates.retain(|class, _| class.shard() != shard);
+        self.rates.extend(rates.iter().map(|(class, rate)| (*class, (*rate, now))));
     }
 
-    /// The part of a lane in force; none where it isn't limited as far as is known.
-    fn part(&self, lane: Lane, now: Instant) -> Option<Part> {
-        let (part, at) = self.parts.get(&lane)?;
-        (now.saturating_duration_since(*at) < HELD).then_some(*part)
+    /// The admission rate in force for a class; `None` if it isn't known to be limited.
+    fn rate(&self, class: CostClass, now: Instant) -> Option<AdmissionRate> {
+        let (rate, at) = self.rates.get(&class)?;
+        (now.saturating_duration_since(*at) < RATE_TTL).then_some(*rate)
     }
 }
 
-fn comes_back(part: Option<Part>) -> Duration {
-    let part = part.map_or(1.0, Part::get).max(0.01);
-    SOONEST.div_f64(part).clamp(SOONEST, LATEST)
+fn retry_delay(rate: Option<AdmissionRate>) -> Duration {
+    let rate = rate.map_or(1.0, AdmissionRate::get).max(0.01);
+    MIN_RETRY_DELAY.div_f64(rate).clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY)
 }
 
-impl Counted {
-    /// Whether the next request belongs to the part.
-    fn draw(&mut self, part: Part, rng: &mut SmallRng) -> bool {
+impl ClassState {
+    /// Whether to admit the next request at that rate.
+    fn admit_next(&mut self, rate: AdmissionRate, rng: &mut SmallRng) -> bool {
         if self.credit == 0.0 {
-            // VMs that begin at the same moment must not all let their first request through.
+            // A random start keeps VMs from all admitting their first request.
             self.credit = rng.random();
         }
-        self.credit += part.get();
+        self.credit += rate.get();
         let is_due = self.credit >= 1.0;
         self.credit -= f64::from(u8::from(is_due));
         is_due
--- a/src/decide/sharing/message.rs
+++ b/src/decide/sharing/message.rs
@@ -98,7 +98,7 @@
     pub loads: Vec<(Key, Load)>,
     /// The VM's counts for organisations of the shard.
     #[serde(rename = "q", default, skip_serializing_if = "Vec::is_empty")]
-    pub quotas: Vec<(quota::Lane, quota::Count)>,
+    pub quotas: Vec<(quota::CostClass, quota::Count)>,
     /// Prefix uses that the host has not confirmed.
     #[serde(rename = "u")]
     pub uses: Vec<PrefixUse>,
@@ -126,7 +126,7 @@
     /// Admission rates of limited organisations of the shard; `None` if the host doesn't know them
     /// yet.
     #[serde(rename = "q", default, skip_serializing_if = "Option::is_none")]
-    pub quotas: Option<Vec<(quota::Lane, quota::Part)>>,
+    pub quotas: Option<Vec<(quota::CostClass, quota::AdmissionRate)>>,
     /// Prefix uses since the position in the update.
     #[serde(rename = "u")]
     pub uses: Vec<PrefixUse>,
@@ -150,7 +150,7 @@
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let message: Self = ciborium::from_reader(bytes).ok()?;
         let (shard, loads, uses, remotes) = match &message {
-            Self::Totals(totals) if totals.shard < SHARDS && totals.is_sound() => {
+            Self::Totals(totals) if totals.shard < SHARDS && totals.is_valid() => {
                 return Some(message);
             }
             Self::Totals(_) => return None,
--- a/src/gateway/hub/upstreams.rs
+++ b/src/gateway/hub/upstreams.rs
@@ -39,7 +39,7 @@
         let elsewhere = self.elsewhere(&merged, &routing.evacuated);
         let vms = merged.all_vms(Role::Entry).count() as u32;
         drop(merged);
-        self.meter().set_vms(vms);
+        self.meter().set_vm_count(vms);
         self.place().sync(seen, share);
         self.regions().sync(elsewhere);
         self.news.send_replace(());
--- a/src/gateway/receive.rs
+++ b/src/gateway/receive.rs
@@ -231,7 +231,7 @@
         }
         Err(refusal) => {
             if let (Some(charge), Ran::No) = (relay.job().charge, refusal.ran) {
-                hub.meter().give_back(charge.organisation, charge.cost);
+                hub.meter().refund(charge.organisation, charge.cost);
             }
             hub.metrics().ended(refusal.reason.name());
             info!(hub.log(), "request.ended"; "request" => &relay.job().call.id,
--- a/src/gateway/share.rs
+++ b/src/gateway/share.rs
@@ -256,7 +256,7 @@
         let mut state = self.state();
         let host = state.book.abroad.get(&from).cloned();
         if let Some((vm, region)) = &host {
-            state.balances.take_totals((vm, region), totals, Instant::now());
+            state.balances.apply_totals((vm, region), totals, Instant::now());
         }
         host.is_some()
     }
@@ -303,7 +303,7 @@
             shard.uses.retain(|(number, _)| *number > summary.number);
         }
         if let Some(parts) = &summary.quotas {
-            hub.meter().told(summary.shard, parts, now);
+            hub.meter().apply_rates(summary.shard, parts, now);
         }
         hub.place().told(&summary, now);
         hub.regions().told_by_host(&summary.remotes, now);
@@ -324,9 +324,9 @@
     /// As a host, takes a VM's statement and answers it.
     fn answer(&mut self, from: &id::Vm, update: Update, now: Instant) -> Option<Summary> {
         let (shard, version) = (update.shard, (update.start, update.number));
-        self.balances.take((from, shard), version, &update.quotas, now);
+        self.balances.apply_counts((from, shard), version, &update.quotas, now);
         let mut summary = self.aggregator.apply_update(from, update, now)?;
-        summary.quotas = self.balances.parts(shard, now);
+        summary.quotas = self.balances.admission_rates(shard, now);
         Some(summary)
     }
 }
--- a/tests/load/quotas.rs
+++ b/tests/load/quotas.rs
@@ -10,9 +10,9 @@
 use masticstream::decide::limit::Demand;
 use masticstream::decide::limit::Grant;
 use masticstream::decide::quota::Balances;
+use masticstream::decide::quota::CostClass;
 use masticstream::decide::quota::Excess;
 use masticstream::decide::quota::Key;
-use masticstream::decide::quota::Lane;
 use masticstream::decide::quota::Meter;
 use masticstream::decide::sharing::UPDATE_INTERVAL;
 use masticstream::id;
@@ -103,8 +103,8 @@
     Tell(usize),
     Abroad(usize),
     Totals(usize, usize, masticstream::decide::quota::Totals),
-    Counts(usize, (u64, u64), Vec<(Lane, masticstream::decide::quota::Count)>),
-    Parts(usize, Vec<(Lane, masticstream::decide::quota::Part)>),
+    Counts(usize, (u64, u64), Vec<(CostClass, masticstream::decide::quota::Count)>),
+    Parts(usize, Vec<(CostClass, masticstream::decide::quota::AdmissionRate)>),
     Demand(Demand),
     Grant(usize, Grant),
 }
@@ -179,7 +179,7 @@
         key,
     };
     for meter in &mut world.meters {
-        meter.set_vms(VMS as u32);
+        meter.set_vm_count(VMS as u32);
     }
     for nth in 0..VMS {
         let first = UPDATE_INTERVAL.mul_f64(world.rng.random());
@@ -245,18 +245,22 @@
             Event::Tell(nth) => self.tell(nth),
             Event::Abroad(from) => self.abroad(from),
             Event::Totals(from, to, totals) => {
-                self.hosts[to].take_totals((&vm(from * VMS_A_REGION), &region(from)), &totals, now);
+                self.hosts[to].apply_totals(
+                    (&vm(from * VMS_A_REGION), &region(from)),
+                    &totals,
+                    now,
+                );
             }
             Event::Counts(nth, version, counts) => {
                 let host = &mut self.hosts[nth / VMS_A_REGION];
                 let shard = self.key.shard();
-                host.take((&vm(nth), shard), version, &counts, now);
-                let parts = host.parts(shard, now);
+                host.apply_counts((&vm(nth), shard), version, &counts, now);
+                let parts = host.admission_rates(shard, now);
                 if let Some(parts) = parts {
                     self.agenda.after(NEAR, Event::Parts(nth, parts));
                 }
             }
-            Event::Parts(nth, parts) => self.meters[nth].told(self.key.shard(), &parts, now),
+            Event::Parts(nth, parts) => self.meters[nth].apply_rates(self.key.shard(), &parts, now),
             Event::Demand(demand) => {
                 if let Some(grant) = self.home.handle_demand(&demand, now) {
                     let nth = demand.vm.as_str()[2..].parse().unwrap();
