--- a/src/gateway/receive.rs
+++ b/src/gateway/receive.rs
@@ -241,7 +241,7 @@
         }
         Err(refusal) => {
             if let (Some(charge), Ran::No) = (relay.job().charge, refusal.ran) {
-                state.meter().give_back(charge.organisation, charge.cost);
+                state.meter().refund(charge.organisation, charge.cost);
             }
             state.metrics().record_request(refusal.reason.name());
             info!(state.log(), "request.ended"; "request" => &relay.job().call.id,
--- a/src/gateway/state/upstreams.rs
+++ b/src/gateway/state/upstreams.rs
@@ -39,7 +39,7 @@
         let remote = self.remote_upstreams(&merged, &routing.evacuated);
         let vms = merged.all_vms(Role::Entry).count() as u32;
         drop(merged);
-        self.meter().set_vms(vms);
+        self.meter().set_vm_count(vms);
         self.place().sync(seen, share);
         self.regions().sync(remote);
         self.updates.send_replace(());
