--- a/src/directory/broadcast.rs
+++ b/src/directory/broadcast.rs
@@ -60,7 +60,7 @@
         match pending.get_mut(&announcement.id) {
             Some((last, _)) => *last = announcement,
             // A heartbeat does not carry time spans, so others are sent in full.
-            None if announcement.is_settled() => {
+            None if announcement.is_time_independent() => {
                 self.push_heartbeat(announcement.digest(), announcement.stamp.sequence);
             }
             None => {
--- a/src/directory/operate.rs
+++ b/src/directory/operate.rs
@@ -132,7 +132,7 @@
         let status = group.status();
         if status.leads && self.started().elapsed() < FORMATION_PERIOD {
             let voters = status.members.with_role(ReplicaRole::Voter).count();
-            let present = self.table().present().filter(|vm| vm.role == Role::Control).count();
+            let present = self.table().live_vms().filter(|vm| vm.role == Role::Control).count();
             if voters < present.min(VOTERS) {
                 return Err(group::Error::Refused(Refusal::NotReady));
             }
--- a/src/directory/service.rs
+++ b/src/directory/service.rs
@@ -29,13 +29,13 @@
 use crate::group::Status;
 use crate::id;
 use crate::roster::Announcement;
-use crate::roster::Fact;
+use crate::roster::Observed;
 use crate::roster::Presence;
 use crate::roster::Stamp;
 use crate::roster::Standing;
 use crate::roster::Table;
-use crate::roster::table::Patience;
-use crate::roster::table::Taken;
+use crate::roster::table::Outcome;
+use crate::roster::table::Timeouts;
 use crate::routing::State;
 use crate::routing::state::Replicated;
 use crate::settings::Node;
@@ -90,7 +90,7 @@
     broadcast: broadcast::Queue,
     routes: Arc<Routes>,
     routing_cache: Cache<Replicated>,
-    roster_cache: Cache<Vec<Fact<Announcement>>>,
+    roster_cache: Cache<Vec<Observed<Announcement>>>,
     seat: OnceLock<Seat<State>>,
     mesh: OnceLock<Mesh>,
     started: Instant,
@@ -107,7 +107,7 @@
         nonce: u64,
         log: Logger,
     ) -> Self {
-        let patience = Patience { upstream: node.check_in * MISSED_CHECK_INS, vm: VM_TIMEOUT };
+        let timeouts = Timeouts { upstream: node.check_in * MISSED_CHECK_INS, vm: VM_TIMEOUT };
         let presence = Presence {
             vm: node.vm(),
             role: Role::Control,
@@ -128,8 +128,8 @@
         if let Some(restored) = &restored {
             info!(log, "routing.kept"; "revision" => %restored.revision);
         }
-        let roster_cache = Cache::<Vec<Fact<Announcement>>>::new(&folder, cache::ROSTER_FILE);
-        let mut table = Table::new(patience);
+        let roster_cache = Cache::<Vec<Observed<Announcement>>>::new(&folder, cache::ROSTER_FILE);
+        let mut table = Table::new(timeouts);
         if let Some(upstreams) = roster_cache.load(&log) {
             info!(log, "roster.kept"; "upstreams" => upstreams.len());
             table.restore(upstreams, node.check_in * RESTORED_MISSED_CHECK_INS, Instant::now());
@@ -188,7 +188,7 @@
     pub fn metrics_text(&self) -> String {
         let (upstreams, vms) = {
             let table = self.table();
-            (table.upstreams().count(), table.present().count())
+            (table.upstreams().count(), table.live_vms().count())
         };
         let status = self.group().map(|group| group.status());
         let version = self.routing.borrow().document.as_ref().map_or(0, |held| held.version.get());
@@ -237,21 +237,21 @@
 
     /// Handles a check-in of an upstream.
     pub fn announce(&self, announcement: Announcement) {
-        let taken = self.table().announce(announcement.clone(), Instant::now());
+        let outcome = self.table().apply_announcement(announcement.clone(), Instant::now());
         self.metrics.record_check_in();
-        let is_news = taken == Taken::News;
-        if is_news {
+        let is_changed = outcome == Outcome::Changed;
+        if is_changed {
             info!(self.log, "upstream.announced"; "upstream" => %announcement.id,
                 "service" => &announcement.service, "address" => %announcement.address,
-                "standing" => ?announcement.standing, "born" => announcement.stamp.born,
+                "standing" => ?announcement.standing, "born" => announcement.stamp.start_time_ms,
                 "sequence" => announcement.stamp.sequence,
                 "cold_ms" => announcement.cold_left.as_millis() as u64);
             self.notify_followers();
         }
-        match taken {
-            Taken::Stale => (),
-            Taken::Still => self.broadcast.renew_announcement(announcement),
-            Taken::News => self.broadcast.push_announcement(announcement),
+        match outcome {
+            Outcome::Stale => (),
+            Outcome::Renewed => self.broadcast.renew_announcement(announcement),
+            Outcome::Changed => self.broadcast.push_announcement(announcement),
         }
     }
 
@@ -259,7 +259,7 @@
     pub fn leave(&self, upstream: &id::Upstream, start_time_ms: Option<u64>) {
         let announcement = {
             let mut table = self.table();
-            table.leave(upstream, start_time_ms, Instant::now());
+            table.mark_gone(upstream, start_time_ms, Instant::now());
             table.upstream(upstream).cloned()
         };
         info!(self.log, "upstream.left"; "upstream" => %upstream, "known" => announcement.is_some());
@@ -274,7 +274,7 @@
         let document = self.routing.borrow().document.clone();
         let homes = document.map(|document| document.homes(host)).unwrap_or_default();
         let table = self.table();
-        lookup::addresses(region, &homes, table.present(), table.all_vms())
+        lookup::addresses(region, &homes, table.live_vms(), table.all_vms())
     }
 
     /// Handles a long poll: returns when there is an update for the follower, or at the timeout.
@@ -299,7 +299,7 @@
             (Some(delta), Some(region)) => {
                 let is_local =
                     |centre: &id::DataCentre| self.node.region_of(centre) == Some(region);
-                Some(delta.only_of(region, is_local))
+                Some(delta.for_region(region, is_local))
             }
             (roster, _) => roster,
         };
@@ -315,20 +315,20 @@
 
     /// Applies the presence of a VM received directly; returns the newest known stamp of the VM.
     fn apply_presence(&self, presence: Presence) -> Option<(Stamp, u64)> {
-        let (taken, known) = {
+        let (outcome, known) = {
             let mut table = self.table();
-            let taken = table.meet(presence.clone(), Instant::now());
-            (taken, table.stamp_of(&presence.vm, presence.role))
+            let outcome = table.apply_presence(presence.clone(), Instant::now());
+            (outcome, table.stamp_and_nonce(&presence.vm, presence.role))
         };
-        if taken == Taken::News {
+        if outcome == Outcome::Changed {
             info!(self.log, "vm.announced"; "vm" => %presence.vm, "role" => ?presence.role,
                 "standing" => ?presence.standing, "ready" => presence.ready);
             self.notify_followers();
         }
-        match taken {
-            Taken::Stale => (),
-            Taken::Still => self.broadcast.renew_presence(presence),
-            Taken::News => self.broadcast.push_presence(presence),
+        match outcome {
+            Outcome::Stale => (),
+            Outcome::Renewed => self.broadcast.renew_presence(presence),
+            Outcome::Changed => self.broadcast.push_presence(presence),
         }
         known
     }
@@ -340,7 +340,7 @@
         let mut changed = false;
         let mut table = self.table();
         for announcement in heard.upstreams {
-            changed |= table.announce(announcement, now) == Taken::News;
+            changed |= table.apply_announcement(announcement, now) == Outcome::Changed;
         }
         for presence in heard.vms {
             if let (Some(mesh), Some(links)) = (self.mesh(), presence.links) {
@@ -353,28 +353,28 @@
             }
             let (vm, role, nonce) = (presence.vm.clone(), presence.role, presence.nonce);
             let is_sender = vm == from.vm && role == from.role;
-            let taken = table.meet(presence.clone(), now);
-            changed |= taken == Taken::News;
+            let outcome = table.apply_presence(presence.clone(), now);
+            changed |= outcome == Outcome::Changed;
             // Guards against a group without a leader after the loss of the seeds: two control VMs
             // that are not seeds know each other only if the seeds pass their presence on.
-            match taken {
-                Taken::Still if is_sender => self.broadcast.renew_presence(presence),
-                Taken::News if is_sender => self.broadcast.push_presence(presence),
+            match outcome {
+                Outcome::Renewed if is_sender => self.broadcast.renew_presence(presence),
+                Outcome::Changed if is_sender => self.broadcast.push_presence(presence),
                 _ => (),
             }
             if is_sender
-                && taken == Taken::Stale
-                && table.stamp_of(&vm, role).is_some_and(|known| known.1 != nonce)
+                && outcome == Outcome::Stale
+                && table.stamp_and_nonce(&vm, role).is_some_and(|known| known.1 != nonce)
             {
                 reply.vms.extend(
                     table.all_vms().find(|known| known.vm == vm && known.role == role).cloned(),
                 );
             }
         }
-        let renewed = table.still_there(&heard.alive, now);
-        changed |= renewed.is_news;
+        let renewed = table.apply_heartbeats(&heard.alive, now);
+        changed |= renewed.has_changes;
         reply.wanted = renewed.unknown;
-        let (upstreams, vms) = table.statements(&heard.wanted);
+        let (upstreams, vms) = table.records(&heard.wanted);
         reply.upstreams.extend(upstreams);
         reply.vms.extend(vms);
         drop(table);
@@ -391,7 +391,7 @@
     fn supersede(&self, stamp: Stamp, nonce: u64) {
         let mut presence = self.presence.lock().expect("no panic while locked");
         if nonce != presence.nonce && stamp >= presence.stamp {
-            presence.stamp = Stamp::new(stamp.born + 1, 0);
+            presence.stamp = Stamp::new(stamp.start_time_ms + 1, 0);
         }
     }
 
@@ -410,15 +410,15 @@
 
     /// Renews the presence of this VM.
     fn announce_presence(&self) {
-        let said = {
+        let presence = {
             let mut presence = self.presence.lock().expect("no panic while locked");
             presence.stamp.sequence += 1;
             presence.clone()
         };
-        let taken = self.table().meet(said.clone(), Instant::now());
-        match taken {
-            Taken::News => self.broadcast.push_presence(said),
-            _ => self.broadcast.renew_presence(said),
+        let outcome = self.table().apply_presence(presence.clone(), Instant::now());
+        match outcome {
+            Outcome::Changed => self.broadcast.push_presence(presence),
+            _ => self.broadcast.renew_presence(presence),
         }
         self.notify_followers();
     }
@@ -461,7 +461,7 @@
         let now = Instant::now();
         if now.saturating_duration_since(last) > STALL_THRESHOLD {
             info!(service.log, "process.stood_still"; "ms" => (now - last).as_millis() as u64);
-            service.table().excuse(now);
+            service.table().reset_timers(now);
         }
         last = now;
         if announced_at.is_none_or(|at| now.saturating_duration_since(at) >= LONG_POLL_TIMEOUT) {
@@ -498,7 +498,7 @@
         }
         time::sleep(ROSTER_SAVE_DELAY).await;
         revision.mark_unchanged();
-        let upstreams = service.table().facts(Instant::now());
+        let upstreams = service.table().observed_upstreams(Instant::now());
         let (cache, log) = (service.roster_cache.clone(), service.log.clone());
         let saved = tokio::task::spawn_blocking(move || cache.save(&upstreams, &log));
         if let Err(error) = saved.await {
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -145,7 +145,7 @@
 
 async fn fetch(state: &State, peer: &Peer, slot: usize) -> Option<Followed> {
     let region = Some(&state.node().region).filter(|_| slot != FULL_ROSTER);
-    let (epoch, roster) = state.merged().ask(&peer.vm, region);
+    let (epoch, roster) = state.merged().prepare_request(&peer.vm, region);
     let (presence, routing) = (state.next_presence(), state.routing().revision);
     let only_of = region.cloned();
     let follow = Follow { presence, epoch, roster, only_of, routing };
@@ -167,7 +167,10 @@
         state.apply_proof(proof);
     }
     if let Some(delta) = followed.roster {
-        let links = delta.vms.iter().filter_map(|fact| Some((&fact.said, fact.said.links?)));
+        let links = delta
+            .vms
+            .iter()
+            .filter_map(|observed| Some((&observed.record, observed.record.links?)));
         if let Some(mesh) = state.mesh() {
             links.for_each(|(vm, link)| mesh.learn(Peer::new(vm.vm.clone(), vm.role), link));
         }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -38,7 +38,7 @@
 use crate::http::client::Client;
 use crate::id;
 use crate::roster::Delta;
-use crate::roster::Merged;
+use crate::roster::MergedTable;
 use crate::roster::Presence;
 use crate::roster::Stamp;
 use crate::roster::Standing;
@@ -80,7 +80,7 @@
     log: Logger,
     adapter: Arc<dyn Adapter>,
     routing: Mutex<Routing>,
-    merged: Mutex<Merged>,
+    merged: Mutex<MergedTable>,
     place: Mutex<Place>,
     regions: Mutex<Regions>,
     freshness: Mutex<Freshness>,
@@ -228,7 +228,7 @@
         self.regions.lock().expect("no panic while locked")
     }
 
-    pub(super) fn merged(&self) -> MutexGuard<'_, Merged> {
+    pub(super) fn merged(&self) -> MutexGuard<'_, MergedTable> {
         self.merged.lock().expect("no panic while locked")
     }
 
@@ -363,13 +363,13 @@
     pub fn supersede(&self, stamp: Stamp, nonce: u64) {
         let mut presence = self.presence.lock().expect("no panic while locked");
         if nonce != presence.nonce && stamp >= presence.stamp {
-            presence.stamp = Stamp::new(stamp.born + 1, 0);
+            presence.stamp = Stamp::new(stamp.start_time_ms + 1, 0);
         }
     }
 
     /// Applies roster changes from a control VM.
     pub fn apply_roster(&self, from: &id::Vm, epoch: u64, delta: Delta) {
-        self.merged().take(from, epoch, delta, Instant::now());
+        self.merged().apply_delta(from, epoch, delta, Instant::now());
         self.sync_placement();
     }
 
--- a/src/gateway/state/upstreams.rs
+++ b/src/gateway/state/upstreams.rs
@@ -10,7 +10,7 @@
 use crate::decide::place::Seen;
 use crate::decide::place::Share;
 use crate::id;
-use crate::roster::Merged;
+use crate::roster::MergedTable;
 use crate::roster::Standing;
 use crate::roster::merged::Upstream;
 use crate::routing::Service;
@@ -29,11 +29,16 @@
         let rank = names.iter().take_while(|name| ***name < own_vm).count();
         let share = Share::new(rank as u32, names.len() as u32);
         let local = merged.upstreams().filter(|upstream| {
-            self.node.region_of(&upstream.said.data_centre) == Some(&self.node.region)
+            self.node.region_of(&upstream.record.data_centre) == Some(&self.node.region)
         });
         let seen = local.map(|upstream| {
-            let is_evacuated = routing.evacuated.contains(&upstream.said.data_centre);
-            to_seen(upstream, table.service(&upstream.said.service), is_evacuated, share.senders())
+            let is_evacuated = routing.evacuated.contains(&upstream.record.data_centre);
+            to_seen(
+                upstream,
+                table.service(&upstream.record.service),
+                is_evacuated,
+                share.senders(),
+            )
         });
         let seen = seen.collect();
         let remote = self.remote_upstreams(&merged, &routing.evacuated);
@@ -48,22 +53,22 @@
     /// The available upstreams of other regions, by service.
     fn remote_upstreams(
         &self,
-        merged: &Merged,
+        merged: &MergedTable,
         evacuated: &BTreeSet<id::DataCentre>,
     ) -> HashMap<String, Open> {
         let mut remote: HashMap<String, Open> = HashMap::new();
         for upstream in merged.upstreams() {
-            let said = &upstream.said;
-            let is_available = said.standing == Standing::Ready
+            let record = &upstream.record;
+            let is_available = record.standing == Standing::Ready
                 && !upstream.silent
-                && !evacuated.contains(&said.data_centre);
-            let region = self.node.region_of(&said.data_centre);
+                && !evacuated.contains(&record.data_centre);
+            let region = self.node.region_of(&record.data_centre);
             let Some(region) = region.filter(|region| is_available && **region != self.node.region)
             else {
                 continue;
             };
-            let open = remote.entry(said.service.clone()).or_default();
-            open.entry(region.clone()).or_default().push(said.id.clone());
+            let open = remote.entry(record.service.clone()).or_default();
+            open.entry(region.clone()).or_default().push(record.id.clone());
         }
         remote
     }
@@ -77,21 +82,21 @@
     is_evacuated: bool,
     senders: u32,
 ) -> Seen {
-    let said = &upstream.said;
+    let record = &upstream.record;
     let connections = service.map_or(u32::MAX, |service| (service.connections / senders).max(1));
     let rate = service.and_then(|service| service.cold_rate);
     let cold = rate.map(|rate| Cold { until: upstream.cold_until, rate });
     let engine = service.and_then(|service| service.engine.as_ref());
     Seen {
-        id: said.id.clone(),
-        born: said.stamp.born,
-        service: said.service.clone(),
-        address: said.address,
-        slots: said.slots,
+        id: record.id.clone(),
+        born: record.stamp.start_time_ms,
+        service: record.service.clone(),
+        address: record.address,
+        slots: record.slots,
         memory: engine.map(|engine| engine.memory),
         connections,
         cold,
-        open: said.standing == Standing::Ready && !is_evacuated,
+        open: record.standing == Standing::Ready && !is_evacuated,
         silent: upstream.silent,
     }
 }
--- a/src/golden/tests.rs
+++ b/src/golden/tests.rs
@@ -82,7 +82,7 @@
 #[test]
 fn files_of_control_vms() {
     check_cbor::<routing::state::Replicated>("routing-copy");
-    check_cbor::<Vec<roster::Fact<roster::Announcement>>>("roster-copy");
+    check_cbor::<Vec<roster::Observed<roster::Announcement>>>("roster-copy");
     let names = [directory::cache::ROUTING_FILE, directory::cache::ROSTER_FILE];
     check_text("files.txt", &names.join("\n"));
 }
--- a/src/roster/announcement.rs
+++ b/src/roster/announcement.rs
@@ -1,4 +1,4 @@
-//! What an upstream says of itself.
+//! Records of upstreams.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,96 +13,96 @@
 use crate::id;
 use crate::unit::Slots;
 
-/// Whether an upstream takes requests.
+/// Whether an upstream or VM accepts requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Standing {
-    /// It takes requests.
+    /// Accepts requests.
     Ready,
-    /// It ends soon: what runs may end, and nothing new goes there.
+    /// Shutting down: running requests may finish, new ones are sent elsewhere.
     Draining,
-    /// It has left.
+    /// Has left.
     Gone,
 }
 
-/// A model that an engine holds.
+/// A model that an engine has loaded.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Model {
-    /// Its name.
+    /// The model's name.
     pub name: String,
     /// The version of its weights.
     pub version: u64,
 }
 
-/// What an upstream says of itself. Its names are short on the wire, where most messages hold many of these.
+/// The record that an upstream publishes. Field names are short on the wire because a message holds many records.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// Its name.
+    /// The upstream's name.
     #[serde(rename = "i", alias = "id")]
     pub id: id::Upstream,
-    /// Orders this among its statements.
+    /// Orders the upstream's records.
     #[serde(rename = "s", alias = "stamp")]
     pub stamp: Stamp,
-    /// The service that it is a copy of.
+    /// The service that it is a replica of.
     #[serde(rename = "v", alias = "service")]
     pub service: String,
-    /// Where it takes connections.
+    /// Where it accepts connections.
     #[serde(rename = "a", alias = "address")]
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The data centre that it runs in.
     #[serde(rename = "d", alias = "data_centre")]
     pub data_centre: id::DataCentre,
-    /// The requests that it runs at once.
+    /// The requests that it can run concurrently.
     #[serde(rename = "n", alias = "slots")]
     pub slots: Slots,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     #[serde(rename = "t", alias = "standing")]
     pub standing: Standing,
-    /// How much longer it is cold, as of now.
+    /// The remaining warm-up time.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "c", alias = "cold_left")]
     pub cold_left: Duration,
-    /// When it will be gone whatever it runs, as of now; none where it ends by itself.
+    /// The time until it is terminated, if a deadline is set.
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     #[serde(rename = "e", alias = "ends_in")]
     pub ends_in: Option<Duration>,
-    /// What it holds.
+    /// The models that it has loaded.
     #[serde(rename = "m", alias = "models")]
     pub models: Vec<Model>,
 }
 
-/// How far apart two statements about a moment may lie and still mean the same moment.
-const JITTER: Duration = Duration::from_millis(500);
+/// Two records whose deadlines differ by no more than this are taken to have the same deadline.
+const JITTER_TOLERANCE: Duration = Duration::from_millis(500);
 
 impl Announcement {
-    /// Whether it tells no span of time, which would be another one a moment later.
-    pub fn is_settled(&self) -> bool {
+    /// Whether the record has no remaining durations, which change with every check-in.
+    pub fn is_time_independent(&self) -> bool {
         self.cold_left.is_zero() && self.ends_in.is_none()
     }
 
-    /// Names the upstream, its start and all that it says but for spans of time.
+    /// Hashes all fields but the sequence number and the remaining durations.
     pub fn digest(&self) -> u64 {
-        let said = (&self.service, self.address, &self.data_centre, self.slots);
-        digest(&(&self.id, self.stamp.born, said, self.standing, &self.models))
+        let fields = (&self.service, self.address, &self.data_centre, self.slots);
+        digest(&(&self.id, self.stamp.start_time_ms, fields, self.standing, &self.models))
     }
 
-    /// Whether a later statement tells anything that matters to those who send requests.
-    pub fn says_more_than(&self, last: &Self, since: Duration) -> bool {
-        let cold = last.cold_left.saturating_sub(since);
-        let ends = last.ends_in.map(|ends| ends.saturating_sub(since));
+    /// Whether routing needs to know of this record, given the last one and the time since it.
+    pub fn has_changed_since(&self, last: &Self, elapsed: Duration) -> bool {
+        let cold = last.cold_left.saturating_sub(elapsed);
+        let ends = last.ends_in.map(|ends| ends.saturating_sub(elapsed));
         let ends_changed = match (self.ends_in, ends) {
-            (Some(now), Some(before)) => now.abs_diff(before) > JITTER,
+            (Some(now), Some(before)) => now.abs_diff(before) > JITTER_TOLERANCE,
             (now, before) => now.is_some() != before.is_some(),
         };
-        self.stamp.born != last.stamp.born
+        self.stamp.start_time_ms != last.stamp.start_time_ms
             || self.service != last.service
             || self.address != last.address
             || self.data_centre != last.data_centre
             || self.slots != last.slots
             || self.standing != last.standing
             || self.models != last.models
-            || self.cold_left.abs_diff(cold) > JITTER
+            || self.cold_left.abs_diff(cold) > JITTER_TOLERANCE
             || ends_changed
     }
 }
--- a/src/roster/delta.rs
+++ b/src/roster/delta.rs
@@ -1,4 +1,4 @@
-//! What changed in a control VM's table.
+//! Changes of a control VM's table.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -8,34 +8,42 @@
 use crate::id;
 use crate::wire::Role;
 
-/// A fact and whether its subject has fallen silent.
+/// A record and whether its subject has stopped renewing it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fact<T> {
-    /// What the subject said last, with spans of time as of now.
-    pub said: T,
-    /// Nothing was heard of it for long.
+pub struct Observed<T> {
+    /// The latest record, with remaining durations as of now.
+    #[serde(rename = "said")]
+    pub record: T,
+    /// The subject has not renewed the record within its timeout.
     pub silent: bool,
 }
 
-/// All that changed after a revision, or everything.
+/// The records that changed after a revision, or the full table.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The revision that the receiver has with this.
+    /// The receiver's revision after it applies this delta.
     pub revision: u64,
-    /// What is not in here is unknown to the sender, and not merely unchanged.
-    pub whole: bool,
-    /// The upstreams.
-    pub upstreams: Vec<Fact<Announcement>>,
-    /// The VMs.
-    pub vms: Vec<Fact<Presence>>,
+    /// The delta holds the full table and replaces the receiver's copy.
+    #[serde(rename = "whole")]
+    pub is_full: bool,
+    /// The changed upstreams.
+    pub upstreams: Vec<Observed<Announcement>>,
+    /// The changed VMs.
+    pub vms: Vec<Observed<Presence>>,
 }
 
 impl Delta {
-    /// The same without the entry VMs of other regions, and without upstreams in data centres that are not `here`.
+    /// Removes the entry VMs of other regions and the upstreams of data centres that are not local.
     #[must_use]
-    pub fn only_of(mut self, region: &id::Region, here: impl Fn(&id::DataCentre) -> bool) -> Self {
-        self.vms.retain(|fact| fact.said.role != Role::Entry || fact.said.region == *region);
-        self.upstreams.retain(|fact| here(&fact.said.data_centre));
+    pub fn for_region(
+        mut self,
+        region: &id::Region,
+        is_local: impl Fn(&id::DataCentre) -> bool,
+    ) -> Self {
+        self.vms.retain(|observed| {
+            observed.record.role != Role::Entry || observed.record.region == *region
+        });
+        self.upstreams.retain(|observed| is_local(&observed.record.data_centre));
         self
     }
 }
--- a/src/roster/heartbeat.rs
+++ b/src/roster/heartbeat.rs
@@ -1,20 +1,19 @@
-//! A subject is still there and as it was.
+//! Heartbeats: compact renewals of unchanged records.
 
 use serde::Deserialize;
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Renews a statement that the receiver has, in a few bytes.
+/// Renews a record that the receiver already has.
 ///
-/// Failure: thousands of upstreams say once a second that they are there. If each were passed on as a whole statement,
-/// control VMs would send and decode megabytes a second in which nothing is new.
+/// Thousands of upstreams check in every second; relaying a digest instead of each unchanged record saves control VMs
+/// megabytes of traffic a second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct Heartbeat {
-    /// Names the subject, its start and all that it says of itself. Who has another statement of it does not know this one,
-    /// and asks for the whole.
+    /// The digest of the record without its sequence number. A receiver that does not know it requests the full record.
     pub digest: u64,
-    /// The sequence of the newest statement.
+    /// The sequence number of the latest record.
     pub sequence: u64,
 }
 
@@ -25,14 +24,14 @@
 }
 
 impl From<Heartbeat> for (u64, u64) {
-    fn from(alive: Heartbeat) -> Self {
-        (alive.digest, alive.sequence)
+    fn from(heartbeat: Heartbeat) -> Self {
+        (heartbeat.digest, heartbeat.sequence)
     }
 }
 
-/// A digest of all that a statement says.
-pub(super) fn digest(said: &impl Serialize) -> u64 {
+/// Hashes the CBOR encoding of a record's fields.
+pub(super) fn digest(record: &impl Serialize) -> u64 {
     let mut bytes = Vec::with_capacity(128);
-    ciborium::into_writer(said, &mut bytes).expect("writing to memory does not fail");
+    ciborium::into_writer(record, &mut bytes).expect("writing to memory does not fail");
     xxh3_64(&bytes)
 }
--- a/src/roster/merged.rs
+++ b/src/roster/merged.rs
@@ -1,4 +1,4 @@
-//! What an entry VM knows of upstreams and VMs, from the control VMs that it follows.
+//! An entry VM's view of upstreams and VMs, merged from the control VMs that it follows.
 
 use std::collections::HashMap;
 
@@ -9,156 +9,165 @@
 use super::Presence;
 use super::Stamp;
 use super::Standing;
-use super::delta::Fact;
+use super::delta::Observed;
 use crate::id;
 use crate::wire::Role;
 
-/// An upstream as an entry VM knows it.
+/// An upstream in the merged table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Upstream {
-    /// What it said last.
-    pub said: Announcement,
-    /// All control VMs that are followed and know it find it silent.
+    /// The latest record.
+    pub record: Announcement,
+    /// All followed control VMs that know the upstream report it silent.
     pub silent: bool,
-    /// Until when it is cold.
+    /// When its warm-up ends.
     pub cold_until: Instant,
-    /// When it will be gone, whatever it runs.
+    /// When it is terminated, if a deadline is set.
     pub ends_at: Option<Instant>,
 }
 
-/// What one control VM said.
+/// The state received from one control VM.
 #[derive(Debug, Default)]
 struct Source {
-    /// Whether its word counts at present.
+    /// Whether its reports of silence count.
     followed: bool,
-    /// Tells a start of the control VM from the one before.
+    /// Identifies the control VM's process start.
     epoch: u64,
     revision: u64,
-    /// The region whose entry VMs it tells of; all where there is none.
-    only_of: Option<id::Region>,
+    /// The region whose entry VMs it reports; none means all regions.
+    region_filter: Option<id::Region>,
     upstreams: HashMap<id::Upstream, (Stamp, bool)>,
     vms: HashMap<(id::Vm, Role), (Stamp, bool)>,
 }
 
-/// All that the followed control VMs say, put together: the newest statement counts, whoever passed it on, and a
-/// subject is silent only where all who know its newest statement say so.
+/// The merged tables of the followed control VMs: the newest record wins, and a subject is silent only if all followed
+/// control VMs that know it report it silent.
 #[derive(Debug, Default)]
-pub struct Merged {
+pub struct MergedTable {
     sources: HashMap<id::Vm, Source>,
     upstreams: HashMap<id::Upstream, Upstream>,
-    vms: HashMap<(id::Vm, Role), Fact<Presence>>,
+    vms: HashMap<(id::Vm, Role), Observed<Presence>>,
 }
 
-impl Merged {
-    /// A control VM is asked for the entry VMs of that region alone, or for all. Up to where its table is known, for its present
-    /// start; nothing of it where it told of other entry VMs until now.
-    pub fn ask(&mut self, source: &id::Vm, only_of: Option<&id::Region>) -> (u64, u64) {
+impl MergedTable {
+    /// Sets the region whose entry VMs are requested from a control VM, none for all, and returns the epoch and revision to
+    /// resume from. The revision is 0 if the region changed.
+    pub fn prepare_request(
+        &mut self,
+        source: &id::Vm,
+        region_filter: Option<&id::Region>,
+    ) -> (u64, u64) {
         let source = self.sources.entry(source.clone()).or_default();
-        if source.only_of.as_ref() != only_of {
-            source.only_of = only_of.cloned();
+        if source.region_filter.as_ref() != region_filter {
+            source.region_filter = region_filter.cloned();
             source.revision = 0;
         }
         (source.epoch, source.revision)
     }
 
-    /// A control VM is no longer followed: what it found silent counts no more. The facts stay, and so does where its table is
-    /// known up to.
-    ///
-    /// Failure: a control VM is lost for a moment, and each of two hundred VMs that come back to it is told of three hundred
-    /// upstreams and VMs that it knows; the lines between regions, which requests need, are full of that for seconds.
+    /// Ignores a control VM's reports of silence until it is followed again. Its records and revision stay, so that a short
+    /// disconnect does not make every follower fetch the full table over the links between regions.
     pub fn unfollow(&mut self, source: &id::Vm) {
         if let Some(source) = self.sources.get_mut(source) {
             source.followed = false;
         }
-        self.judge();
+        self.refresh_silence();
     }
 
-    /// Takes what a control VM of that start says.
-    pub fn take(&mut self, source: &id::Vm, epoch: u64, delta: Delta, now: Instant) {
+    /// Applies a delta from a control VM.
+    pub fn apply_delta(&mut self, source: &id::Vm, epoch: u64, delta: Delta, now: Instant) {
         let entry = self.sources.entry(source.clone()).or_default();
-        if entry.epoch != epoch || delta.whole {
-            let only_of = entry.only_of.take();
-            *entry = Source { epoch, only_of, ..Source::default() };
+        if entry.epoch != epoch || delta.is_full {
+            let region_filter = entry.region_filter.take();
+            *entry = Source { epoch, region_filter, ..Source::default() };
         }
         entry.followed = true;
         entry.revision = delta.revision;
-        for fact in &delta.upstreams {
-            entry.upstreams.insert(fact.said.id.clone(), (fact.said.stamp, fact.silent));
+        for observed in &delta.upstreams {
+            entry
+                .upstreams
+                .insert(observed.record.id.clone(), (observed.record.stamp, observed.silent));
         }
-        for fact in &delta.vms {
-            let key = (fact.said.vm.clone(), fact.said.role);
-            entry.vms.insert(key, (fact.said.stamp, fact.silent));
+        for observed in &delta.vms {
+            let key = (observed.record.vm.clone(), observed.record.role);
+            entry.vms.insert(key, (observed.record.stamp, observed.silent));
         }
-        for fact in delta.upstreams {
-            self.learn(fact.said, now);
+        for observed in delta.upstreams {
+            self.update_upstream(observed.record, now);
         }
-        for fact in delta.vms {
-            self.meet(fact.said);
+        for observed in delta.vms {
+            self.update_vm(observed.record);
         }
-        self.judge();
+        self.refresh_silence();
     }
 
     /// The upstreams that have not left.
     pub fn upstreams(&self) -> impl Iterator<Item = &Upstream> {
-        self.upstreams.values().filter(|upstream| upstream.said.standing != Standing::Gone)
+        self.upstreams.values().filter(|upstream| upstream.record.standing != Standing::Gone)
     }
 
-    /// The VMs of that role that are heard of.
+    /// The live VMs with a role.
     pub fn vms(&self, role: Role) -> impl Iterator<Item = &Presence> {
-        let present = move |fact: &&Fact<Presence>| {
-            fact.said.role == role && !fact.silent && fact.said.standing != Standing::Gone
+        let is_live = move |observed: &&Observed<Presence>| {
+            observed.record.role == role
+                && !observed.silent
+                && observed.record.standing != Standing::Gone
         };
-        self.vms.values().filter(present).map(|fact| &fact.said)
+        self.vms.values().filter(is_live).map(|observed| &observed.record)
     }
 
-    /// All VMs of that role that were ever heard of.
+    /// All known VMs with a role, including silent ones and those that left.
     pub fn all_vms(&self, role: Role) -> impl Iterator<Item = &Presence> {
-        self.vms.values().filter(move |fact| fact.said.role == role).map(|fact| &fact.said)
+        self.vms
+            .values()
+            .filter(move |observed| observed.record.role == role)
+            .map(|observed| &observed.record)
     }
 
-    fn learn(&mut self, said: Announcement, now: Instant) {
-        let known = self.upstreams.get(&said.id);
-        if known.is_some_and(|known| known.said.stamp > said.stamp) {
+    fn update_upstream(&mut self, record: Announcement, now: Instant) {
+        let known = self.upstreams.get(&record.id);
+        if known.is_some_and(|known| known.record.stamp > record.stamp) {
             return;
         }
         let upstream = Upstream {
             silent: false,
-            cold_until: now + said.cold_left,
-            ends_at: said.ends_in.map(|ends| now + ends),
-            said,
+            cold_until: now + record.cold_left,
+            ends_at: record.ends_in.map(|ends| now + ends),
+            record,
         };
-        self.upstreams.insert(upstream.said.id.clone(), upstream);
+        self.upstreams.insert(upstream.record.id.clone(), upstream);
     }
 
-    fn meet(&mut self, said: Presence) {
-        let key = (said.vm.clone(), said.role);
-        if self.vms.get(&key).is_some_and(|known| known.said.stamp > said.stamp) {
+    fn update_vm(&mut self, record: Presence) {
+        let key = (record.vm.clone(), record.role);
+        if self.vms.get(&key).is_some_and(|known| known.record.stamp > record.stamp) {
             return;
         }
-        self.vms.insert(key, Fact { said, silent: false });
+        self.vms.insert(key, Observed { record, silent: false });
     }
 
-    /// Decides anew who is silent, and drops what no source knows any more.
-    fn judge(&mut self) {
+    /// Recomputes which subjects are silent, and drops upstreams that left and are unknown to all followed sources.
+    fn refresh_silence(&mut self) {
         let sources: Vec<&Source> =
             self.sources.values().filter(|source| source.followed).collect();
         if sources.is_empty() {
             return;
         }
         self.upstreams.retain(|id, upstream| {
-            let mut words = sources.iter().filter_map(|source| source.upstreams.get(id)).peekable();
-            let is_known = words.peek().is_some();
-            upstream.silent = is_known && words.all(|&(_, silent)| silent);
-            is_known || upstream.said.standing != Standing::Gone
+            let mut reports =
+                sources.iter().filter_map(|source| source.upstreams.get(id)).peekable();
+            let is_known = reports.peek().is_some();
+            upstream.silent = is_known && reports.all(|&(_, silent)| silent);
+            is_known || upstream.record.standing != Standing::Gone
         });
-        let is_told_all = sources.iter().any(|source| source.only_of.is_none());
-        for (key, fact) in &mut self.vms {
-            let mut words = sources.iter().filter_map(|source| source.vms.get(key)).peekable();
-            // The one source that tells of other regions' VMs is lost for a moment: they are as they were.
-            if words.peek().is_none() && !is_told_all {
+        let is_any_unfiltered = sources.iter().any(|source| source.region_filter.is_none());
+        for (key, observed) in &mut self.vms {
+            let mut reports = sources.iter().filter_map(|source| source.vms.get(key)).peekable();
+            // No followed source reports other regions' VMs at present, so their state is unchanged.
+            if reports.peek().is_none() && !is_any_unfiltered {
                 continue;
             }
-            fact.silent = words.peek().is_none() || words.all(|&(_, silent)| silent);
+            observed.silent = reports.peek().is_none() || reports.all(|&(_, silent)| silent);
         }
     }
 }
--- a/src/roster/mod.rs
+++ b/src/roster/mod.rs
@@ -1,8 +1,8 @@
-//! Who is there: upstreams that announce themselves, and the VMs of the system, found through a few seeds.
+//! Membership of upstreams and VMs.
 //!
-//! Nothing here is agreed on. Each fact has one writer, its subject, and a [`Stamp`] by which any two copies are put in
-//! order; so copies may arrive in any order, by any way, and as often as they like. A control VM keeps a [`Table`];
-//! an entry VM follows two of them and keeps what both say in a [`Merged`].
+//! Membership does not go through consensus. Each record has a single writer, the upstream or VM that it describes, and
+//! a [`Stamp`] that orders its versions, so records may be reordered, duplicated or relayed. A control VM keeps a
+//! [`Table`]; an entry VM follows two control VMs and combines their tables in a [`MergedTable`].
 
 pub mod announcement;
 pub mod delta;
@@ -15,9 +15,9 @@
 pub use announcement::Announcement;
 pub use announcement::Standing;
 pub use delta::Delta;
-pub use delta::Fact;
+pub use delta::Observed;
 pub use heartbeat::Heartbeat;
-pub use merged::Merged;
+pub use merged::MergedTable;
 pub use presence::Presence;
 pub use stamp::Stamp;
 pub use table::Table;
--- a/src/roster/presence.rs
+++ b/src/roster/presence.rs
@@ -1,4 +1,4 @@
-//! What a VM of the system says of itself.
+//! Records of VMs.
 
 use std::net::SocketAddr;
 
@@ -11,55 +11,63 @@
 use crate::id;
 use crate::wire::Role;
 
-/// What one process of the system says of itself. Its names are short on the wire, where most messages hold many of these.
+/// The record that a control or entry process publishes. Field names are short on the wire because a message holds many
+/// records.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Presence {
-    /// Its VM.
+    /// The VM that the process runs on.
     #[serde(rename = "v", alias = "vm")]
     pub vm: id::Vm,
-    /// What it runs.
+    /// The role of the process.
     #[serde(rename = "r", alias = "role")]
     pub role: Role,
-    /// Orders this among its statements.
+    /// Orders the process's records.
     #[serde(rename = "s", alias = "stamp")]
     pub stamp: Stamp,
-    /// Tells apart two starts that have the same stamp because the clock was set back.
+    /// Distinguishes two starts with the same stamp, which occur when the clock is set back.
     #[serde(rename = "n", alias = "nonce")]
     pub nonce: u64,
-    /// Where it stands.
+    /// The region that it runs in.
     #[serde(rename = "g", alias = "region")]
     pub region: id::Region,
-    /// Where it stands.
+    /// The data centre that it runs in.
     #[serde(rename = "d", alias = "data_centre")]
     pub data_centre: id::DataCentre,
-    /// Whether callers should come to it.
+    /// Whether it accepts new callers.
     #[serde(rename = "t", alias = "standing")]
     pub standing: Standing,
-    /// Whether it can carry requests at present.
+    /// Whether it can serve requests now.
     #[serde(rename = "y", alias = "ready")]
     pub ready: bool,
-    /// Where it takes callers' connections; none on a control VM.
+    /// The address for callers; none on a control VM.
     #[serde(rename = "c", alias = "callers")]
     pub callers: Option<SocketAddr>,
-    /// Where it takes requests that other VMs pass on; none on a control VM.
+    /// The address for requests forwarded by other VMs; none on a control VM.
     #[serde(rename = "f", alias = "forwards")]
     pub forwards: Option<SocketAddr>,
-    /// Where it takes links from other VMs; none on an entry VM.
+    /// The address for links from other VMs; none on an entry VM.
     #[serde(rename = "l", alias = "links")]
     pub links: Option<SocketAddr>,
 }
 
 impl Presence {
-    /// Names the VM, its start and all that it says.
+    /// Hashes all fields but the sequence number.
     pub fn digest(&self) -> u64 {
-        let place = (&self.vm, self.role, &self.region, &self.data_centre);
-        let reached = (self.callers, self.forwards, self.links);
-        digest(&(place, self.stamp.born, self.nonce, self.standing, self.ready, reached))
+        let identity = (&self.vm, self.role, &self.region, &self.data_centre);
+        let addresses = (self.callers, self.forwards, self.links);
+        digest(&(
+            identity,
+            self.stamp.start_time_ms,
+            self.nonce,
+            self.standing,
+            self.ready,
+            addresses,
+        ))
     }
 
-    /// Whether a later statement tells anything that matters to others.
-    pub fn says_more_than(&self, last: &Self) -> bool {
-        (self.stamp.born, self.nonce) != (last.stamp.born, last.nonce)
+    /// Whether other VMs need to know of this record, given the last one.
+    pub fn has_changed_since(&self, last: &Self) -> bool {
+        (self.stamp.start_time_ms, self.nonce) != (last.stamp.start_time_ms, last.nonce)
             || self.standing != last.standing
             || self.ready != last.ready
             || (self.callers, self.forwards, self.links)
--- a/src/roster/stamp.rs
+++ b/src/roster/stamp.rs
@@ -1,29 +1,29 @@
-//! The order of what one process says of itself.
+//! Versions of the records of one process.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Orders the statements of one process: those of a later start are newer, and within a start the sequence decides.
+/// Orders the records of one process, by its start time and then by sequence number.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Stamp {
     /// When the process started, in milliseconds of its own clock since the Unix epoch.
     #[serde(rename = "b", alias = "born")]
-    pub born: u64,
-    /// Counts its statements since then.
+    pub start_time_ms: u64,
+    /// The number of records published since the start.
     #[serde(rename = "q", alias = "sequence")]
     pub sequence: u64,
 }
 
 impl Stamp {
-    /// The stamp of that statement of that start.
-    pub const fn new(born: u64, sequence: u64) -> Self {
-        Self { born, sequence }
+    /// Creates a stamp.
+    pub const fn new(start_time_ms: u64, sequence: u64) -> Self {
+        Self { start_time_ms, sequence }
     }
 
-    /// A stamp that no statement of the same start overtakes.
-    pub const fn last_of(born: u64) -> Self {
-        Self { born, sequence: u64::MAX }
+    /// The highest stamp of a process start: no later record of that start supersedes it.
+    pub const fn last_of(start_time_ms: u64) -> Self {
+        Self { start_time_ms, sequence: u64::MAX }
     }
 }
--- a/src/roster/table.rs
+++ b/src/roster/table.rs
@@ -1,4 +1,4 @@
-//! What a control VM knows of upstreams and VMs, and what changed when.
+//! A control VM's table of upstreams and VMs, with a revision for each change.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,84 +12,83 @@
 use super::Presence;
 use super::Stamp;
 use super::Standing;
-use super::delta::Fact;
+use super::delta::Observed;
 use crate::id;
 use crate::wire::Role;
 
-/// A subject that has left or was replaced is remembered for so long, so that a statement that was held up on its way
-/// does not bring it back. Statements come seconds late; a minute is several times that.
-const REMEMBERED: Duration = Duration::from_secs(60);
+/// How long subjects that left or went silent are kept, so that a delayed record does not bring them back.
+const TOMBSTONE_RETENTION: Duration = Duration::from_secs(60);
 
-/// How long a subject may be silent.
+/// The longest time between renewals before a subject counts as silent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Patience {
-    /// An upstream, which says something once a second or so and may be seconds late.
+pub struct Timeouts {
+    /// For upstreams.
     pub upstream: Duration,
-    /// A VM, which says something once a second.
+    /// For VMs.
     pub vm: Duration,
 }
 
-/// What became of a statement.
+/// The result of applying a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taken {
-    /// It tells something new that others must hear of at once.
-    News,
-    /// The subject is still as it was.
-    Still,
-    /// A newer statement was heard already, or another upstream has taken its address over.
+pub enum Outcome {
+    /// The subject is new or has changed; followers must be notified.
+    Changed,
+    /// The record was renewed without a relevant change.
+    Renewed,
+    /// A newer record is known, or a newer upstream has the address.
     Stale,
 }
 
-/// One subject.
+/// A record and its liveness.
 #[derive(Debug, Clone)]
-struct Known<T> {
-    said: T,
-    /// When the statement with the newest stamp came.
-    heard: Instant,
-    /// When `said` was last replaced by something that matters; spans of time in it count from then.
-    changed: Instant,
+struct Tracked<T> {
+    record: T,
+    /// When the record was last renewed.
+    last_renewed: Instant,
+    /// When the record last changed; its remaining durations count from then.
+    changed_at: Instant,
     revision: u64,
     silent: bool,
 }
 
-/// Upstreams and VMs as one control VM knows them.
+/// The upstreams and VMs known to a control VM.
 #[derive(Debug)]
 pub struct Table {
-    patience: Patience,
+    timeouts: Timeouts,
     revision: u64,
-    /// Below this revision, deletions are forgotten: a follower that is behind gets everything.
-    floor: u64,
-    upstreams: HashMap<id::Upstream, Known<Announcement>>,
-    /// The upstream that took each address last.
+    /// Removals up to this revision are no longer known: a follower behind it gets the full table.
+    oldest_delta_revision: u64,
+    upstreams: HashMap<id::Upstream, Tracked<Announcement>>,
+    /// The latest upstream at each address.
     addresses: HashMap<SocketAddr, id::Upstream>,
-    vms: HashMap<(id::Vm, Role), Known<Presence>>,
-    /// The subjects by the digests of what they said last.
+    vms: HashMap<(id::Vm, Role), Tracked<Presence>>,
+    /// Subjects by the digest of their latest record.
     digests: HashMap<u64, Subject>,
 }
 
-/// Whom a statement is about.
+/// The subject of a record.
 #[derive(Debug, Clone)]
 enum Subject {
     Upstream(id::Upstream),
     Vm(id::Vm, Role),
 }
 
-/// What came of heartbeats.
+/// The result of applying heartbeats.
 #[derive(Debug, Default)]
-pub struct StillThere {
-    /// Whether some had been silent.
-    pub is_news: bool,
-    /// Digests of no statement that is known.
+pub struct Renewal {
+    /// Whether any subject had been silent.
+    pub has_changes: bool,
+    /// Digests that match no known record.
     pub unknown: Vec<u64>,
 }
 
 impl Table {
-    /// An empty table.
-    pub fn new(patience: Patience) -> Self {
+    /// Creates an empty table.
+    pub fn new(timeouts: Timeouts) -> Self {
         Self {
-            patience,
+            timeouts,
             revision: 1,
-            floor: 1,
+            oldest_delta_revision: 1,
             upstreams: HashMap::new(),
             addresses: HashMap::new(),
             vms: HashMap::new(),
@@ -97,48 +96,52 @@
         }
     }
 
-    /// Counts the changes.
+    /// The number of the latest change.
     pub const fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Takes an upstream's statement, heard directly or passed on by another VM.
-    pub fn announce(&mut self, said: Announcement, now: Instant) -> Taken {
-        if let Some(known) = self.upstreams.get_mut(&said.id) {
-            if said.stamp <= known.said.stamp {
-                return Taken::Stale;
+    /// Applies an upstream's record, received directly or relayed.
+    pub fn apply_announcement(&mut self, record: Announcement, now: Instant) -> Outcome {
+        if let Some(known) = self.upstreams.get_mut(&record.id) {
+            if record.stamp <= known.record.stamp {
+                return Outcome::Stale;
             }
-            let since = now.saturating_duration_since(known.changed);
-            let news = known.silent || said.says_more_than(&known.said, since);
-            known.heard = now;
-            known.said.stamp = said.stamp;
-            if !news {
-                return Taken::Still;
+            let since = now.saturating_duration_since(known.changed_at);
+            let changed = known.silent || record.has_changed_since(&known.record, since);
+            known.last_renewed = now;
+            known.record.stamp = record.stamp;
+            if !changed {
+                return Outcome::Renewed;
             }
-        } else if self.is_older_tenant(&said) {
-            return Taken::Stale;
+        } else if self.is_previous_owner(&record) {
+            return Outcome::Stale;
         }
-        self.put(said, now);
-        Taken::News
+        self.insert_upstream(record, now);
+        Outcome::Changed
     }
 
-    /// An upstream leaves; `born` is none where it does not say which start of it leaves. It tells whether it was
-    /// known.
-    pub fn leave(&mut self, upstream: &id::Upstream, born: Option<u64>, now: Instant) -> bool {
+    /// Marks an upstream as gone, and returns whether it was known. Without `start_time_ms`, the latest start is meant.
+    pub fn mark_gone(
+        &mut self,
+        upstream: &id::Upstream,
+        start_time_ms: Option<u64>,
+        now: Instant,
+    ) -> bool {
         let Some(known) = self.upstreams.get(upstream) else { return false };
-        let mut said = known.said.clone();
-        if born.is_some_and(|born| born < said.stamp.born) {
+        let mut record = known.record.clone();
+        if start_time_ms.is_some_and(|start_time_ms| start_time_ms < record.stamp.start_time_ms) {
             return true;
         }
-        said.stamp = Stamp::last_of(born.unwrap_or(said.stamp.born));
-        said.standing = Standing::Gone;
-        self.put(said, now);
+        record.stamp = Stamp::last_of(start_time_ms.unwrap_or(record.stamp.start_time_ms));
+        record.standing = Standing::Gone;
+        self.insert_upstream(record, now);
         true
     }
 
-    /// Takes heartbeats: subjects are still there and as they were.
-    pub fn still_there(&mut self, heartbeats: &[Heartbeat], now: Instant) -> StillThere {
-        let mut taken = StillThere::default();
+    /// Renews the records that the heartbeats refer to.
+    pub fn apply_heartbeats(&mut self, heartbeats: &[Heartbeat], now: Instant) -> Renewal {
+        let mut renewal = Renewal::default();
         for heartbeat in heartbeats {
             let renewed = match self.digests.get(&heartbeat.digest) {
                 Some(Subject::Upstream(id)) => {
@@ -152,15 +155,15 @@
                 None => None,
             };
             match renewed {
-                Some(is_news) => taken.is_news |= is_news,
-                None => taken.unknown.push(heartbeat.digest),
+                Some(has_changes) => renewal.has_changes |= has_changes,
+                None => renewal.unknown.push(heartbeat.digest),
             }
         }
-        taken
+        renewal
     }
 
-    /// The whole statements of those digests that are known.
-    pub fn statements(&self, digests: &[u64]) -> (Vec<Announcement>, Vec<Presence>) {
+    /// The records with the given digests, as far as they are known.
+    pub fn records(&self, digests: &[u64]) -> (Vec<Announcement>, Vec<Presence>) {
         let subjects = digests.iter().filter_map(|digest| self.digests.get(digest));
         let (mut upstreams, mut vms) = (Vec::new(), Vec::new());
         for subject in subjects {
@@ -168,206 +171,223 @@
                 Subject::Upstream(id) => upstreams.extend(self.upstream(id).cloned()),
                 Subject::Vm(vm, role) => {
                     let known = self.vms.get(&(vm.clone(), *role));
-                    vms.extend(known.map(|known| known.said.clone()));
+                    vms.extend(known.map(|known| known.record.clone()));
                 }
             }
         }
         (upstreams, vms)
     }
 
-    /// What was last said by an upstream.
+    /// The latest record of an upstream.
     pub fn upstream(&self, upstream: &id::Upstream) -> Option<&Announcement> {
-        self.upstreams.get(upstream).map(|known| &known.said)
+        self.upstreams.get(upstream).map(|known| &known.record)
     }
 
-    /// The upstreams that have not left and have not fallen silent.
+    /// The upstreams that are neither gone nor silent.
     pub fn upstreams(&self) -> impl Iterator<Item = &Announcement> {
-        let present =
-            |known: &&Known<Announcement>| !known.silent && known.said.standing != Standing::Gone;
-        self.upstreams.values().filter(present).map(|known| &known.said)
+        let is_live = |known: &&Tracked<Announcement>| {
+            !known.silent && known.record.standing != Standing::Gone
+        };
+        self.upstreams.values().filter(is_live).map(|known| &known.record)
     }
 
-    /// Takes a VM's statement.
-    pub fn meet(&mut self, said: Presence, now: Instant) -> Taken {
-        let key = (said.vm.clone(), said.role);
-        let news = match self.vms.get_mut(&key) {
-            Some(known) if said.stamp <= known.said.stamp => return Taken::Stale,
+    /// Applies a VM's record.
+    pub fn apply_presence(&mut self, record: Presence, now: Instant) -> Outcome {
+        let key = (record.vm.clone(), record.role);
+        let changed = match self.vms.get_mut(&key) {
+            Some(known) if record.stamp <= known.record.stamp => return Outcome::Stale,
             Some(known) => {
-                let news = known.silent || said.says_more_than(&known.said);
-                known.heard = now;
-                known.said.stamp = said.stamp;
-                news
+                let changed = known.silent || record.has_changed_since(&known.record);
+                known.last_renewed = now;
+                known.record.stamp = record.stamp;
+                changed
             }
             None => true,
         };
-        if !news {
-            return Taken::Still;
+        if !changed {
+            return Outcome::Renewed;
         }
         self.revision += 1;
-        self.digests.insert(said.digest(), Subject::Vm(said.vm.clone(), said.role));
-        let known =
-            Known { said, heard: now, changed: now, revision: self.revision, silent: false };
+        self.digests.insert(record.digest(), Subject::Vm(record.vm.clone(), record.role));
+        let known = Tracked {
+            record,
+            last_renewed: now,
+            changed_at: now,
+            revision: self.revision,
+            silent: false,
+        };
         if let Some(last) = self.vms.insert(key, known) {
-            self.drop_digest(last.said.digest(), |table| {
+            self.drop_digest(last.record.digest(), |table| {
                 table
                     .vms
-                    .get(&(last.said.vm.clone(), last.said.role))
-                    .map(|known| known.said.digest())
+                    .get(&(last.record.vm.clone(), last.record.role))
+                    .map(|known| known.record.digest())
             });
         }
-        Taken::News
+        Outcome::Changed
     }
 
-    /// The stamp and nonce that a VM was last heard with.
-    pub fn stamp_of(&self, vm: &id::Vm, role: Role) -> Option<(Stamp, u64)> {
+    /// The stamp and nonce of a VM's latest record.
+    pub fn stamp_and_nonce(&self, vm: &id::Vm, role: Role) -> Option<(Stamp, u64)> {
         let known = self.vms.get(&(vm.clone(), role))?;
-        Some((known.said.stamp, known.said.nonce))
+        Some((known.record.stamp, known.record.nonce))
     }
 
-    /// The VMs that have not fallen silent and have not left.
-    pub fn present(&self) -> impl Iterator<Item = &Presence> {
-        let present =
-            |known: &&Known<Presence>| !known.silent && known.said.standing != Standing::Gone;
-        self.vms.values().filter(present).map(|known| &known.said)
+    /// The VMs that are neither gone nor silent.
+    pub fn live_vms(&self) -> impl Iterator<Item = &Presence> {
+        let is_live =
+            |known: &&Tracked<Presence>| !known.silent && known.record.standing != Standing::Gone;
+        self.vms.values().filter(is_live).map(|known| &known.record)
     }
 
-    /// All VMs that were heard of, the silent ones among them.
+    /// All known VMs, including silent ones and those that left.
     pub fn all_vms(&self) -> impl Iterator<Item = &Presence> {
-        self.vms.values().map(|known| &known.said)
+        self.vms.values().map(|known| &known.record)
     }
 
-    /// Notes who has fallen silent, and forgets what left long ago. Tells whether anything changed.
+    /// Marks subjects past their timeout as silent, removes old ones, and returns whether any became silent.
     pub fn expire(&mut self, now: Instant) -> bool {
         let before = self.revision;
-        let silence = |heard: Instant| now.saturating_duration_since(heard);
+        let elapsed = |last_renewed: Instant| now.saturating_duration_since(last_renewed);
         for known in self.upstreams.values_mut() {
-            let is_late = silence(known.heard) > self.patience.upstream;
-            if is_late && !known.silent && known.said.standing != Standing::Gone {
+            let is_overdue = elapsed(known.last_renewed) > self.timeouts.upstream;
+            if is_overdue && !known.silent && known.record.standing != Standing::Gone {
                 self.revision += 1;
                 known.silent = true;
                 known.revision = self.revision;
             }
         }
         for known in self.vms.values_mut() {
-            if silence(known.heard) > self.patience.vm && !known.silent {
+            if elapsed(known.last_renewed) > self.timeouts.vm && !known.silent {
                 self.revision += 1;
                 known.silent = true;
                 known.revision = self.revision;
             }
         }
-        self.forget(now);
+        self.remove_expired(now);
         self.revision != before
     }
 
-    /// Excuses everybody's silence: this process itself stood still, or heard nobody at all.
-    ///
-    /// Failure: a VM that was suspended wakes up, finds that all others have been silent for long, and tells its
-    /// followers that nobody is left.
-    pub fn excuse(&mut self, now: Instant) {
-        self.upstreams.values_mut().for_each(|known| known.heard = now);
-        self.vms.values_mut().for_each(|known| known.heard = now);
+    /// Restarts all timeouts after this process was suspended or disconnected, so that it does not report all others as
+    /// silent.
+    pub fn reset_timers(&mut self, now: Instant) {
+        self.upstreams.values_mut().for_each(|known| known.last_renewed = now);
+        self.vms.values_mut().for_each(|known| known.last_renewed = now);
     }
 
-    /// All that is known of upstreams, those that left among them, to be kept for [`restore`](Self::restore).
-    pub fn facts(&self, now: Instant) -> Vec<Fact<Announcement>> {
-        self.upstreams.values().map(|known| known.aged(now)).collect()
+    /// All known upstreams, including those that left, to be saved for [`restore`](Self::restore).
+    pub fn observed_upstreams(&self, now: Instant) -> Vec<Observed<Announcement>> {
+        self.upstreams.values().map(|known| known.to_observed(now)).collect()
     }
 
-    /// Takes what was known before this process started. An upstream that says nothing within that time falls silent: it
-    /// may have gone meanwhile.
-    pub fn restore(&mut self, facts: Vec<Fact<Announcement>>, within: Duration, now: Instant) {
-        let spent = self.patience.upstream.saturating_sub(within);
-        let heard = now.checked_sub(spent).unwrap_or(now);
-        for Fact { said, silent } in facts {
-            let id = said.id.clone();
-            self.put(said, now);
+    /// Loads upstreams saved by an earlier process. Those that do not check in within the given time become silent.
+    pub fn restore(
+        &mut self,
+        upstreams: Vec<Observed<Announcement>>,
+        within: Duration,
+        now: Instant,
+    ) {
+        let elapsed = self.timeouts.upstream.saturating_sub(within);
+        let last_renewed = now.checked_sub(elapsed).unwrap_or(now);
+        for Observed { record, silent } in upstreams {
+            let id = record.id.clone();
+            self.insert_upstream(record, now);
             if let Some(known) = self.upstreams.get_mut(&id) {
-                known.heard = heard;
+                known.last_renewed = last_renewed;
                 known.silent = silent;
             }
         }
     }
 
-    /// What a follower lacks; nothing where it is up to date.
+    /// The changes after a revision, if there are any.
     pub fn delta(&self, from: u64, now: Instant) -> Option<Delta> {
         if from >= self.revision {
             return None;
         }
-        let whole = from < self.floor;
-        let lacking = |revision: u64| whole || revision > from;
-        let upstreams = self.upstreams.values().filter(|known| lacking(known.revision));
-        let vms = self.vms.values().filter(|known| lacking(known.revision));
+        let is_full = from < self.oldest_delta_revision;
+        let is_newer = |revision: u64| is_full || revision > from;
+        let upstreams = self.upstreams.values().filter(|known| is_newer(known.revision));
+        let vms = self.vms.values().filter(|known| is_newer(known.revision));
         Some(Delta {
             revision: self.revision,
-            whole,
-            upstreams: upstreams.map(|known| known.aged(now)).collect(),
-            vms: vms.map(|known| Fact { said: known.said.clone(), silent: known.silent }).collect(),
+            is_full,
+            upstreams: upstreams.map(|known| known.to_observed(now)).collect(),
+            vms: vms
+                .map(|known| Observed { record: known.record.clone(), silent: known.silent })
+                .collect(),
         })
     }
 
-    fn put(&mut self, said: Announcement, now: Instant) {
+    fn insert_upstream(&mut self, record: Announcement, now: Instant) {
         self.revision += 1;
-        if said.standing != Standing::Gone {
-            self.take_address(&said, now);
+        if record.standing != Standing::Gone {
+            self.claim_address(&record, now);
         }
-        let id = said.id.clone();
-        self.digests.insert(said.digest(), Subject::Upstream(id.clone()));
-        let known =
-            Known { said, heard: now, changed: now, revision: self.revision, silent: false };
+        let id = record.id.clone();
+        self.digests.insert(record.digest(), Subject::Upstream(id.clone()));
+        let known = Tracked {
+            record,
+            last_renewed: now,
+            changed_at: now,
+            revision: self.revision,
+            silent: false,
+        };
         if let Some(last) = self.upstreams.insert(id, known) {
-            self.drop_digest(last.said.digest(), |table| {
-                table.upstream(&last.said.id).map(Announcement::digest)
+            self.drop_digest(last.record.digest(), |table| {
+                table.upstream(&last.record.id).map(Announcement::digest)
             });
         }
     }
 
-    /// Forgets the digest of a statement that was replaced, unless the new one says the same.
+    /// Removes the digest of a replaced record, unless the new record has the same one.
     fn drop_digest(&mut self, last: u64, now: impl Fn(&Self) -> Option<u64>) {
         if now(self) != Some(last) {
             self.digests.remove(&last);
         }
     }
 
-    /// Whoever had the address before is gone: an address has one owner at a time.
-    fn take_address(&mut self, said: &Announcement, now: Instant) {
-        let last = self.addresses.insert(said.address, said.id.clone());
-        let Some(last) = last.filter(|last| *last != said.id) else { return };
+    /// Assigns the address to the upstream and marks its previous owner as gone.
+    fn claim_address(&mut self, record: &Announcement, now: Instant) {
+        let last = self.addresses.insert(record.address, record.id.clone());
+        let Some(last) = last.filter(|last| *last != record.id) else { return };
         let Some(known) = self.upstreams.get_mut(&last) else { return };
-        if known.said.address == said.address && known.said.standing != Standing::Gone {
-            known.said.standing = Standing::Gone;
-            known.said.stamp = Stamp::last_of(known.said.stamp.born);
-            known.heard = now;
-            known.changed = now;
+        if known.record.address == record.address && known.record.standing != Standing::Gone {
+            known.record.standing = Standing::Gone;
+            known.record.stamp = Stamp::last_of(known.record.stamp.start_time_ms);
+            known.last_renewed = now;
+            known.changed_at = now;
             known.revision = self.revision;
         }
     }
 
-    /// Whether another upstream that started later has the address: the statement was held up on its way.
-    fn is_older_tenant(&self, said: &Announcement) -> bool {
-        let tenant = self.addresses.get(&said.address).filter(|tenant| **tenant != said.id);
-        let tenant = tenant.and_then(|tenant| self.upstreams.get(tenant));
-        tenant.is_some_and(|tenant| tenant.said.stamp.born > said.stamp.born)
+    /// Whether the address belongs to an upstream that started later, so that this record is a delayed one.
+    fn is_previous_owner(&self, record: &Announcement) -> bool {
+        let owner = self.addresses.get(&record.address).filter(|owner| **owner != record.id);
+        let owner = owner.and_then(|owner| self.upstreams.get(owner));
+        owner.is_some_and(|owner| owner.record.stamp.start_time_ms > record.stamp.start_time_ms)
     }
 
-    fn forget(&mut self, now: Instant) {
-        let is_old = |heard: Instant| now.saturating_duration_since(heard) > REMEMBERED;
-        let mut floor = self.floor;
+    fn remove_expired(&mut self, now: Instant) {
+        let is_old = |last_renewed: Instant| {
+            now.saturating_duration_since(last_renewed) > TOMBSTONE_RETENTION
+        };
+        let mut oldest_delta_revision = self.oldest_delta_revision;
         self.upstreams.retain(|_, known| {
-            let ended = known.silent || known.said.standing == Standing::Gone;
-            let forgotten = ended && is_old(known.heard);
-            if forgotten {
-                floor = floor.max(known.revision);
+            let is_inactive = known.silent || known.record.standing == Standing::Gone;
+            let is_removed = is_inactive && is_old(known.last_renewed);
+            if is_removed {
+                oldest_delta_revision = oldest_delta_revision.max(known.revision);
             }
-            !forgotten
+            !is_removed
         });
         self.vms.retain(|_, known| {
-            let forgotten = known.silent && is_old(known.heard);
-            if forgotten {
-                floor = floor.max(known.revision);
+            let is_removed = known.silent && is_old(known.last_renewed);
+            if is_removed {
+                oldest_delta_revision = oldest_delta_revision.max(known.revision);
             }
-            !forgotten
+            !is_removed
         });
-        self.floor = floor;
+        self.oldest_delta_revision = oldest_delta_revision;
         let (upstreams, vms) = (&self.upstreams, &self.vms);
         self.digests.retain(|_, subject| match subject {
             Subject::Upstream(id) => upstreams.contains_key(id),
@@ -378,7 +398,7 @@
     }
 }
 
-/// A statement that says when it was made.
+/// A record with a stamp.
 trait Stamped {
     fn stamp(&mut self) -> &mut Stamp;
 }
@@ -395,15 +415,15 @@
     }
 }
 
-impl<T: Stamped> Known<T> {
-    /// The same was said again under that sequence; whether it had been silent.
+impl<T: Stamped> Tracked<T> {
+    /// Renews the record if the sequence number is newer, and returns whether it had been silent.
     fn renew(&mut self, sequence: u64, revision: &mut u64, now: Instant) -> bool {
-        let stamp = self.said.stamp();
+        let stamp = self.record.stamp();
         if sequence <= stamp.sequence {
             return false;
         }
         stamp.sequence = sequence;
-        self.heard = now;
+        self.last_renewed = now;
         if !self.silent {
             return false;
         }
@@ -414,14 +434,14 @@
     }
 }
 
-impl Known<Announcement> {
-    /// The statement with its spans of time as of now.
-    fn aged(&self, now: Instant) -> Fact<Announcement> {
-        let since = now.saturating_duration_since(self.changed);
-        let mut said = self.said.clone();
-        said.cold_left = said.cold_left.saturating_sub(since);
-        said.ends_in = said.ends_in.map(|ends| ends.saturating_sub(since));
-        Fact { said, silent: self.silent }
+impl Tracked<Announcement> {
+    /// The record with its remaining durations as of now.
+    fn to_observed(&self, now: Instant) -> Observed<Announcement> {
+        let since = now.saturating_duration_since(self.changed_at);
+        let mut record = self.record.clone();
+        record.cold_left = record.cold_left.saturating_sub(since);
+        record.ends_in = record.ends_in.map(|ends| ends.saturating_sub(since));
+        Observed { record, silent: self.silent }
     }
 }
 
--- a/src/roster/table/tests.rs
+++ b/src/roster/table/tests.rs
@@ -2,9 +2,9 @@
 
 use tokio::time::Instant;
 
-use super::Patience;
+use super::Outcome;
 use super::Table;
-use super::Taken;
+use super::Timeouts;
 use crate::id;
 use crate::roster::Announcement;
 use crate::roster::Heartbeat;
@@ -14,13 +14,13 @@
 use crate::unit::Slots;
 use crate::wire::Role;
 
-const PATIENCE: Patience =
-    Patience { upstream: Duration::from_secs(5), vm: Duration::from_secs(3) };
+const TIMEOUTS: Timeouts =
+    Timeouts { upstream: Duration::from_secs(5), vm: Duration::from_secs(3) };
 
-fn said(id: &str, port: u16, born: u64, sequence: u64) -> Announcement {
+fn announcement(id: &str, port: u16, start_time_ms: u64, sequence: u64) -> Announcement {
     Announcement {
         id: id.parse().unwrap(),
-        stamp: Stamp::new(born, sequence),
+        stamp: Stamp::new(start_time_ms, sequence),
         service: "s".to_owned(),
         address: ([127, 0, 0, 1], port).into(),
         data_centre: "a".parse().unwrap(),
@@ -36,11 +36,11 @@
     table.upstream(&id.parse().unwrap()).unwrap().standing
 }
 
-fn presence(vm: &str, born: u64, sequence: u64) -> Presence {
+fn presence(vm: &str, start_time_ms: u64, sequence: u64) -> Presence {
     Presence {
         vm: vm.parse().unwrap(),
         role: Role::Entry,
-        stamp: Stamp::new(born, sequence),
+        stamp: Stamp::new(start_time_ms, sequence),
         nonce: 1,
         region: "r".parse().unwrap(),
         data_centre: "a".parse().unwrap(),
@@ -53,179 +53,179 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn only_what_matters_is_news() {
+async fn only_relevant_changes_are_reported() {
     let now = Instant::now();
-    let mut table = Table::new(PATIENCE);
-    assert_eq!(table.announce(said("x", 1, 10, 1), now), Taken::News);
-    assert_eq!(table.announce(said("x", 1, 10, 2), now), Taken::Still);
-    assert_eq!(table.announce(said("x", 1, 10, 2), now), Taken::Stale);
-    let mut draining = said("x", 1, 10, 3);
+    let mut table = Table::new(TIMEOUTS);
+    assert_eq!(table.apply_announcement(announcement("x", 1, 10, 1), now), Outcome::Changed);
+    assert_eq!(table.apply_announcement(announcement("x", 1, 10, 2), now), Outcome::Renewed);
+    assert_eq!(table.apply_announcement(announcement("x", 1, 10, 2), now), Outcome::Stale);
+    let mut draining = announcement("x", 1, 10, 3);
     draining.standing = Standing::Draining;
-    assert_eq!(table.announce(draining, now), Taken::News);
-    assert_eq!(table.announce(said("x", 1, 10, 2), now), Taken::Stale);
+    assert_eq!(table.apply_announcement(draining, now), Outcome::Changed);
+    assert_eq!(table.apply_announcement(announcement("x", 1, 10, 2), now), Outcome::Stale);
     assert_eq!(standing(&table, "x"), Standing::Draining);
 }
 
-// An upstream says that it drains; an older check-in that was held up arrives after it. If it counted, requests would
-// go on to an upstream that is about to end.
-// The same upstream then starts anew under its old name, and its counts begin from the start.
+// Guards against a delayed check-in that undoes a departure, and against ignoring a restarted upstream, whose sequence
+// numbers begin anew.
 #[tokio::test(start_paused = true)]
 async fn a_later_start_counts_from_the_beginning() {
     let now = Instant::now();
-    let mut table = Table::new(PATIENCE);
-    table.announce(said("x", 1, 10, 900), now);
-    table.leave(&"x".parse().unwrap(), Some(10), now);
-    assert_eq!(table.announce(said("x", 1, 10, 901), now), Taken::Stale);
+    let mut table = Table::new(TIMEOUTS);
+    table.apply_announcement(announcement("x", 1, 10, 900), now);
+    table.mark_gone(&"x".parse().unwrap(), Some(10), now);
+    assert_eq!(table.apply_announcement(announcement("x", 1, 10, 901), now), Outcome::Stale);
     assert_eq!(standing(&table, "x"), Standing::Gone);
-    assert_eq!(table.announce(said("x", 1, 20, 1), now), Taken::News);
+    assert_eq!(table.apply_announcement(announcement("x", 1, 20, 1), now), Outcome::Changed);
     assert_eq!(standing(&table, "x"), Standing::Ready);
-    table.leave(&"x".parse().unwrap(), Some(10), now);
+    table.mark_gone(&"x".parse().unwrap(), Some(10), now);
     assert_eq!(standing(&table, "x"), Standing::Ready);
 }
 
-// An upstream crashes, another one takes its address, and then a check-in of the first arrives that a cut had held
-// up. If it counted, requests would be sent to the address for a service that is not there any more.
+// Guards against a delayed check-in of a crashed upstream whose address belongs to another one now.
 #[tokio::test(start_paused = true)]
 async fn an_address_has_one_owner() {
     let now = Instant::now();
-    let mut table = Table::new(PATIENCE);
-    table.announce(said("old", 1, 10, 1), now);
-    table.announce(said("new", 1, 20, 1), now);
+    let mut table = Table::new(TIMEOUTS);
+    table.apply_announcement(announcement("old", 1, 10, 1), now);
+    table.apply_announcement(announcement("new", 1, 20, 1), now);
     assert_eq!(standing(&table, "old"), Standing::Gone);
-    assert_eq!(table.announce(said("old", 1, 10, 2), now), Taken::Stale);
-    assert_eq!(table.announce(said("older", 1, 5, 2), now), Taken::Stale);
+    assert_eq!(table.apply_announcement(announcement("old", 1, 10, 2), now), Outcome::Stale);
+    assert_eq!(table.apply_announcement(announcement("older", 1, 5, 2), now), Outcome::Stale);
     assert_eq!(standing(&table, "new"), Standing::Ready);
 }
 
 #[tokio::test(start_paused = true)]
-async fn silence_is_noted_once_and_ends_with_a_word() {
+async fn silence_is_reported_once_and_ends_with_a_record() {
     let now = Instant::now();
-    let mut table = Table::new(PATIENCE);
-    table.announce(said("x", 1, 10, 1), now);
-    table.meet(presence("vm", 10, 1), now);
+    let mut table = Table::new(TIMEOUTS);
+    table.apply_announcement(announcement("x", 1, 10, 1), now);
+    table.apply_presence(presence("vm", 10, 1), now);
     let later = now + Duration::from_secs(6);
     assert!(table.expire(later));
     assert!(!table.expire(later));
     let delta = table.delta(table.revision() - 2, later).unwrap();
     assert!(delta.upstreams[0].silent && delta.vms[0].silent);
-    assert_eq!(table.present().count(), 0);
-    assert_eq!(table.announce(said("x", 1, 10, 2), later), Taken::News);
-    assert_eq!(table.meet(presence("vm", 10, 2), later), Taken::News);
-    assert_eq!(table.present().count(), 1);
+    assert_eq!(table.live_vms().count(), 0);
+    assert_eq!(table.apply_announcement(announcement("x", 1, 10, 2), later), Outcome::Changed);
+    assert_eq!(table.apply_presence(presence("vm", 10, 2), later), Outcome::Changed);
+    assert_eq!(table.live_vms().count(), 1);
 }
 
-// What left is forgotten after a minute. A follower that was away for longer would keep it for ever if it were only
-// told what is there, so it gets everything.
+// Guards against a follower that keeps a removed upstream because it was disconnected when the removal was sent.
 #[tokio::test(start_paused = true)]
-async fn a_follower_behind_the_memory_gets_everything() {
+async fn follower_behind_the_oldest_delta_gets_the_full_table() {
     let now = Instant::now();
-    let mut table = Table::new(PATIENCE);
-    table.announce(said("x", 1, 10, 1), now);
+    let mut table = Table::new(TIMEOUTS);
+    table.apply_announcement(announcement("x", 1, 10, 1), now);
     let seen = table.revision();
-    table.announce(said("y", 2, 10, 1), now);
-    assert!(!table.delta(seen, now).unwrap().whole);
-    table.leave(&"x".parse().unwrap(), None, now);
+    table.apply_announcement(announcement("y", 2, 10, 1), now);
+    assert!(!table.delta(seen, now).unwrap().is_full);
+    table.mark_gone(&"x".parse().unwrap(), None, now);
     table.expire(now + Duration::from_secs(61));
-    table.announce(said("y", 2, 10, 2), now + Duration::from_secs(61));
+    table.apply_announcement(announcement("y", 2, 10, 2), now + Duration::from_secs(61));
     let delta = table.delta(seen, now + Duration::from_secs(61)).unwrap();
-    assert!(delta.whole);
-    let left: Vec<&id::Upstream> = delta.upstreams.iter().map(|fact| &fact.said.id).collect();
+    assert!(delta.is_full);
+    let left: Vec<&id::Upstream> =
+        delta.upstreams.iter().map(|observed| &observed.record.id).collect();
     assert_eq!(left.len(), 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn spans_of_time_age_until_they_are_passed_on() {
+async fn remaining_durations_shrink_before_they_are_sent() {
     let now = Instant::now();
-    let mut table = Table::new(PATIENCE);
-    let mut cold = said("x", 1, 10, 1);
+    let mut table = Table::new(TIMEOUTS);
+    let mut cold = announcement("x", 1, 10, 1);
     cold.cold_left = Duration::from_secs(3);
-    table.announce(cold, now);
+    table.apply_announcement(cold, now);
     let delta = table.delta(0, now + Duration::from_secs(1)).unwrap();
-    assert_eq!(delta.upstreams[0].said.cold_left, Duration::from_secs(2));
+    assert_eq!(delta.upstreams[0].record.cold_left, Duration::from_secs(2));
 }
 
-// All control VMs lose power and come back. Upstreams check in once a second or so; until then, every request would be
-// refused although no upstream has ended. Those that did end meanwhile must not stay, and what has left stays away.
+// Guards against refusing requests after a restart of all control VMs until upstreams check in again. Upstreams that
+// ended or left in the meantime must not come back.
 #[tokio::test(start_paused = true)]
 async fn upstreams_are_there_again_after_a_restart_until_they_are_silent() {
     let now = Instant::now() + Duration::from_secs(60);
-    let mut before = Table::new(PATIENCE);
+    let mut before = Table::new(TIMEOUTS);
     for (name, host) in [("well", 1), ("ended", 2), ("left", 3)] {
-        before.announce(said(name, host, 10, 4), now);
+        before.apply_announcement(announcement(name, host, 10, 4), now);
     }
-    before.leave(&"left".parse().unwrap(), None, now);
-    let mut after = Table::new(PATIENCE);
-    after.restore(before.facts(now), Duration::from_secs(2), now);
+    before.mark_gone(&"left".parse().unwrap(), None, now);
+    let mut after = Table::new(TIMEOUTS);
+    after.restore(before.observed_upstreams(now), Duration::from_secs(2), now);
     assert_eq!(after.upstreams().count(), 2);
-    assert_eq!(after.announce(said("left", 3, 10, 5), now), Taken::Stale);
+    assert_eq!(after.apply_announcement(announcement("left", 3, 10, 5), now), Outcome::Stale);
     let later = now + Duration::from_secs(1);
-    assert_eq!(after.announce(said("well", 1, 10, 5), later), Taken::Still);
+    assert_eq!(after.apply_announcement(announcement("well", 1, 10, 5), later), Outcome::Renewed);
     after.expire(now + Duration::from_millis(2100));
     let left: Vec<&str> = after.upstreams().map(|upstream| upstream.id.as_str()).collect();
     assert_eq!(left, ["well"]);
 }
 
-fn word(said: &Announcement, sequence: u64) -> Heartbeat {
-    Heartbeat { digest: said.digest(), sequence }
+fn heartbeat(record: &Announcement, sequence: u64) -> Heartbeat {
+    Heartbeat { digest: record.digest(), sequence }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_short_word_renews_what_is_known() {
+async fn heartbeat_renews_a_known_record() {
     let start = Instant::now();
-    let mut table = Table::new(PATIENCE);
-    let first = said("x", 1, 10, 1);
-    table.announce(first.clone(), start);
-    let later = start + PATIENCE.upstream - Duration::from_secs(1);
+    let mut table = Table::new(TIMEOUTS);
+    let first = announcement("x", 1, 10, 1);
+    table.apply_announcement(first.clone(), start);
+    let later = start + TIMEOUTS.upstream - Duration::from_secs(1);
     let revision = table.revision();
-    assert!(table.still_there(&[word(&first, 2)], later).unknown.is_empty());
+    assert!(table.apply_heartbeats(&[heartbeat(&first, 2)], later).unknown.is_empty());
     assert!(!table.expire(later + Duration::from_secs(2)));
     assert_eq!(table.revision(), revision);
-    assert_eq!(table.announce(said("x", 1, 10, 2), later), Taken::Stale);
+    assert_eq!(table.apply_announcement(announcement("x", 1, 10, 2), later), Outcome::Stale);
 }
 
-// Guards against an upstream that is taken to be ready by a VM that missed its word that it drains.
+// Guards against renewing an outdated record: a VM that missed the draining record must request it.
 #[tokio::test(start_paused = true)]
-async fn a_short_word_about_another_statement_is_not_known() {
+async fn heartbeat_of_an_unknown_record_is_reported() {
     let now = Instant::now();
-    let (mut table, mut other) = (Table::new(PATIENCE), Table::new(PATIENCE));
-    table.announce(said("x", 1, 10, 1), now);
-    let mut draining = said("x", 1, 10, 2);
+    let (mut table, mut other) = (Table::new(TIMEOUTS), Table::new(TIMEOUTS));
+    table.apply_announcement(announcement("x", 1, 10, 1), now);
+    let mut draining = announcement("x", 1, 10, 2);
     draining.standing = Standing::Draining;
-    other.announce(draining.clone(), now);
-    let unknown = table.still_there(&[word(&draining, 3)], now).unknown;
+    other.apply_announcement(draining.clone(), now);
+    let unknown = table.apply_heartbeats(&[heartbeat(&draining, 3)], now).unknown;
     assert_eq!(unknown, [draining.digest()]);
     assert_eq!(standing(&table, "x"), Standing::Ready);
-    let (upstreams, vms) = other.statements(&unknown);
+    let (upstreams, vms) = other.records(&unknown);
     assert!(vms.is_empty());
-    for said in upstreams {
-        assert_eq!(table.announce(said, now), Taken::News);
+    for record in upstreams {
+        assert_eq!(table.apply_announcement(record, now), Outcome::Changed);
     }
     assert_eq!(standing(&table, "x"), Standing::Draining);
-    assert!(table.still_there(&[word(&draining, 4)], now).unknown.is_empty());
+    assert!(table.apply_heartbeats(&[heartbeat(&draining, 4)], now).unknown.is_empty());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_short_word_brings_back_who_was_silent_and_nobody_who_left() {
+async fn heartbeat_revives_silent_subjects_but_not_gone_ones() {
     let start = Instant::now();
-    let mut table = Table::new(PATIENCE);
-    let first = said("x", 1, 10, 1);
-    table.announce(first.clone(), start);
-    table.meet(presence("v", 10, 1), start);
-    let later = start + PATIENCE.upstream * 2;
+    let mut table = Table::new(TIMEOUTS);
+    let first = announcement("x", 1, 10, 1);
+    table.apply_announcement(first.clone(), start);
+    table.apply_presence(presence("v", 10, 1), start);
+    let later = start + TIMEOUTS.upstream * 2;
     assert!(table.expire(later));
-    let words = [word(&first, 2), Heartbeat { digest: presence("v", 10, 1).digest(), sequence: 2 }];
-    assert!(table.still_there(&words, later).is_news);
-    assert_eq!((table.upstreams().count(), table.present().count()), (1, 1));
-    table.leave(&first.id, None, later);
-    assert!(!table.still_there(&[word(&first, 9)], later).is_news);
+    let heartbeats =
+        [heartbeat(&first, 2), Heartbeat { digest: presence("v", 10, 1).digest(), sequence: 2 }];
+    assert!(table.apply_heartbeats(&heartbeats, later).has_changes);
+    assert_eq!((table.upstreams().count(), table.live_vms().count()), (1, 1));
+    table.mark_gone(&first.id, None, later);
+    assert!(!table.apply_heartbeats(&[heartbeat(&first, 9)], later).has_changes);
     assert_eq!(standing(&table, "x"), Standing::Gone);
 }
 
 #[test]
-fn each_thing_that_is_said_makes_another_digest() {
-    let first = said("x", 1, 10, 1);
-    assert_eq!(first.digest(), said("x", 1, 10, 2).digest());
-    let mut others = vec![said("y", 1, 10, 1), said("x", 2, 10, 1), said("x", 1, 11, 1)];
+fn digest_changes_with_the_record_but_not_its_sequence() {
+    let first = announcement("x", 1, 10, 1);
+    assert_eq!(first.digest(), announcement("x", 1, 10, 2).digest());
+    let mut others =
+        vec![announcement("y", 1, 10, 1), announcement("x", 2, 10, 1), announcement("x", 1, 11, 1)];
     others.push(Announcement { service: "t".to_owned(), ..first.clone() });
     others.push(Announcement { slots: Slots::new(9), ..first.clone() });
     others.push(Announcement { standing: Standing::Draining, ..first.clone() });
