--- a/src/gateway/sharing.rs
+++ b/src/gateway/sharing.rs
@@ -260,7 +260,7 @@
         let mut inner = self.inner();
         let host = inner.peers.remote.get(&from).cloned();
         if let Some((vm, region)) = &host {
-            inner.balances.take_totals((vm, region), totals, Instant::now());
+            inner.balances.apply_totals((vm, region), totals, Instant::now());
         }
         host.is_some()
     }
@@ -307,7 +307,7 @@
             shard.uses.retain(|(number, _)| *number > summary.number);
         }
         if let Some(parts) = &summary.quotas {
-            state.meter().told(summary.shard, parts, now);
+            state.meter().apply_rates(summary.shard, parts, now);
         }
         state.place().apply_summary(&summary, now);
         state.regions().apply_remotes(&summary.remotes, now);
@@ -328,9 +328,9 @@
     /// As the host of a shard, merges a VM's update and returns the summary.
     fn aggregate(&mut self, from: &id::Vm, update: Update, now: Instant) -> Option<Summary> {
         let (shard, version) = (update.shard, (update.start, update.number));
-        self.balances.take((from, shard), version, &update.quotas, now);
+        self.balances.apply_counts((from, shard), version, &update.quotas, now);
         let mut summary = self.aggregator.apply_update(from, update, now)?;
-        summary.quotas = self.balances.parts(shard, now);
+        summary.quotas = self.balances.admission_rates(shard, now);
         Some(summary)
     }
 }
--- a/src/store/errors.rs
+++ b/src/store/errors.rs
@@ -35,7 +35,7 @@
     },
     /// The content of a file is corrupt.
     #[error(
-        "{name}, byte {offset}: {corruption}; restore the folder from a backup, or remove it entirely to rejoin the group"
+        "{name}, byte {offset}: {corruption}; restore the folder, or remove it entirely to rejoin the group"
     )]
     Corrupt {
         /// The file.
